--- a/crates/portrack-bench/src/adapters/gateway.rs
+++ b/crates/portrack-bench/src/adapters/gateway.rs
@@ -6,7 +6,7 @@
 use super::trace::Request;
 use portrack::Time;
 use portrack::gateway::{
-    AdapterKey, Backend, EngineSpec, FleetConfig, HeldModel, Home, ModelSpec, Plan, PlanEnd,
+    AdapterKey, Backend, EngineSpec, FleetConfig, HeldModel, Home, ModelSpec, Plan, PlanOutcome,
     PlannedLoad, Planner, ServerReport, Service, home,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,12 +74,12 @@
 impl Default for Gateway {
     fn default() -> Self {
         let mut planners: Vec<Planner> = (0..DAEMONS).map(|_| Planner::default()).collect();
-        planners.iter_mut().for_each(|planner| planner.config(Time(0), config()));
+        planners.iter_mut().for_each(|planner| planner.set_config(Time(0), config()));
         let servers: Vec<Rc<str>> =
             (0..SERVERS).map(|server| server_name(server).as_str().into()).collect();
         for (n, id) in servers.iter().enumerate() {
             let planner = &mut planners[n % DAEMONS];
-            planner.server(Time(0), &backend(id));
+            planner.update_server(Time(0), &backend(id));
             let report = ServerReport { models: vec![MODEL.into()], ..ServerReport::default() };
             planner.reported(Time(0), id, &report);
         }
@@ -122,7 +122,7 @@
         for (_, took, plan) in over {
             let took = Some(Duration::from_millis(took));
             let daemon = self.index(&plan.server) % DAEMONS;
-            self.planners[daemon].ended(Time(now), &plan, PlanEnd::Done, took);
+            self.planners[daemon].ended(Time(now), &plan, PlanOutcome::Done, took);
         }
     }
 
@@ -135,7 +135,7 @@
         for ((server, adapter), running) in ended.chain(runs) {
             let planner = &mut self.planners[server % DAEMONS];
             let id = &self.servers[server];
-            planner.running(Time(now), id, &key(adapter), ANY_DAEMON, running);
+            planner.set_running(Time(now), id, &key(adapter), ANY_DAEMON, running);
         }
         self.told = in_use;
     }
@@ -149,7 +149,7 @@
             let server = self.index(&plan.server);
             if let Some(victim) = &plan.evict {
                 if !servers.evict(server, number(victim)) {
-                    self.planners[daemon].ended(Time(now), &plan, PlanEnd::InUse, None);
+                    self.planners[daemon].ended(Time(now), &plan, PlanOutcome::InUse, None);
                     continue;
                 }
                 self.planners[daemon].evicted(&plan.server, victim);
@@ -185,15 +185,15 @@
             .collect();
         if let Some(server) = home(&key(request.adapter), &homes) {
             let daemon = self.index(&server) % DAEMONS;
-            self.planners[daemon].wish(Time(now), &server, &key(request.adapter), 1, 1);
+            self.planners[daemon].request_load(Time(now), &server, &key(request.adapter), 1, 1);
         }
     }
 
     fn used(&mut self, now: u64, server: usize, request: &Request) {
         let id = self.servers[server].clone();
         let planner = &mut self.planners[server % DAEMONS];
-        planner.used(Time(now), &id, &key(request.adapter), 1);
-        planner.running(Time(now), &id, &key(request.adapter), ANY_DAEMON, true);
+        planner.record_use(Time(now), &id, &key(request.adapter), 1);
+        planner.set_running(Time(now), &id, &key(request.adapter), ANY_DAEMON, true);
     }
 
     fn step(&mut self, now: u64, servers: &mut Servers) {
--- a/crates/portrack/src/gateway/choosing/candidates.rs
+++ b/crates/portrack/src/gateway/choosing/candidates.rs
@@ -20,7 +20,7 @@
     }
 
     fn is_permitted(&self, job: &Job<'_>, backend: &Backend) -> bool {
-        let regions = self.place.regions();
+        let regions = self.locality.regions();
         backend.service == job.service.name && job.region_bounds().permits(regions, &backend.hall)
     }
 
@@ -88,7 +88,7 @@
 
     /// Refuses a request that is bound to regions in which no server can be reached.
     pub(in crate::gateway) fn look_for_allowed(&self, job: &Job<'_>) -> Result<(), Refused> {
-        match !job.region_bounds().is_bound() || self.can_reach_candidate(job) {
+        match !job.region_bounds().is_constrained() || self.can_reach_candidate(job) {
             true => Ok(()),
             false => Err(Refused::new(RefusalReason::NoAllowedServer, Some(NO_ALLOWED_RETRY))),
         }
--- a/crates/portrack/src/gateway/choosing/choose.rs
+++ b/crates/portrack/src/gateway/choosing/choose.rs
@@ -3,7 +3,7 @@
 use super::crowding::is_crowded;
 use super::load::LoadTable;
 use crate::gateway::fleet::backend::Backend;
-use crate::gateway::regions::place::Place;
+use crate::gateway::regions::locality::Locality;
 use crate::types::Time;
 use std::rc::Rc;
 
@@ -19,14 +19,14 @@
 const UNREACHABLE: f64 = 10_000.0;
 
 /// What a request would cost at a server, in requests waiting there.
-pub fn cost(now: Time, loads: &LoadTable, place: &Place, backend: &Backend) -> f64 {
+pub fn cost(now: Time, loads: &LoadTable, locality: &Locality, backend: &Backend) -> f64 {
     let work = loads.work(now, &backend.id);
     let mut cost = f64::from(work.requests);
     cost += f64::from(work.waiting_tokens) / TOKENS_A_REQUEST;
     cost += loads.backlog(now, &backend.id).as_secs_f64() * 1_000.0 / READING_MS_A_REQUEST;
     cost += loads.cold_cost(now, &backend.id, work.requests);
     cost += loads.failure_rate(now, &backend.id) * ALL_FAIL;
-    cost += place.way(&backend.hall);
+    cost += locality.network_cost(&backend.hall);
     if loads.is_silent(now, &backend.id) || loads.is_hall_silent(&backend.hall) {
         cost += SILENT;
     }
@@ -64,10 +64,10 @@
 
 impl Offer {
     /// A server at this cost.
-    pub fn new(cost: f64, place: &Place, backend: &Backend) -> Self {
+    pub fn new(cost: f64, locality: &Locality, backend: &Backend) -> Self {
         Self {
             cost,
-            is_near: !place.is_far(&backend.hall),
+            is_near: !locality.is_remote(&backend.hall),
             is_crowded: is_crowded(backend.slots, cost),
         }
     }
@@ -98,12 +98,12 @@
 pub fn cheapest<'a>(
     now: Time,
     loads: &LoadTable,
-    place: &Place,
+    locality: &Locality,
     tried: &[Rc<str>],
     backends: impl Iterator<Item = &'a Rc<Backend>>,
 ) -> Option<Rc<Backend>> {
     let untried = backends.filter(|backend| !tried.contains(&backend.id));
-    let costed = untried.map(|backend| (cost(now, loads, place, backend), backend));
+    let costed = untried.map(|backend| (cost(now, loads, locality, backend), backend));
     let best = costed.min_by(|(a, _), (b, _)| a.total_cmp(b));
     best.map(|(_, backend)| backend.clone())
 }
@@ -115,16 +115,16 @@
 pub fn cheaper_of_two<'a>(
     now: Time,
     loads: &LoadTable,
-    place: &Place,
+    locality: &Locality,
     id: &str,
     tried: &[Rc<str>],
     backends: impl Iterator<Item = &'a Rc<Backend>>,
 ) -> Option<Rc<Backend>> {
     let untried = backends.filter(|backend| !tried.contains(&backend.id));
     let mut costed: Vec<_> =
-        untried.map(|backend| (cost(now, loads, place, backend), backend)).collect();
+        untried.map(|backend| (cost(now, loads, locality, backend), backend)).collect();
     costed.sort_by(|(a, _), (b, _)| a.total_cmp(b));
     let offers: Vec<Offer> =
-        costed.iter().map(|(cost, backend)| Offer::new(*cost, place, backend)).collect();
+        costed.iter().map(|(cost, backend)| Offer::new(*cost, locality, backend)).collect();
     costed.get(better_of_two(id, &offers)).map(|(_, backend)| (*backend).clone())
 }
--- a/crates/portrack/src/gateway/choosing/load_reports.rs
+++ b/crates/portrack/src/gateway/choosing/load_reports.rs
@@ -8,7 +8,7 @@
 use crate::gateway::dialect::{AdapterKey, ServerReport};
 use crate::gateway::fleet::message::{PeerMessage, ServerLoad};
 use crate::gateway::fleet::view::FleetView;
-use crate::gateway::orders::ordering::ReportedLife;
+use crate::gateway::orders::order_executor::ReportedIncarnation;
 use crate::types::Time;
 use futures_util::future::join_all;
 use std::collections::HashMap;
@@ -43,13 +43,13 @@
     async fn read_loads(self: Rc<Self>) -> Vec<ServerLoad> {
         let servers: Vec<_> = {
             let view = self.path.view.borrow();
-            let ordered = self.ordering.claims.borrow().orderable(self.now());
+            let ordered = self.order_executor.claims.borrow().orderable(self.now());
             let backends = ordered.iter().filter_map(|id| view.backend(id));
             backends.map(|backend| (backend.id.clone(), backend.address)).collect()
         };
         let daemon = &self;
         let reading = servers.iter().map(|(server, address)| async move {
-            let report = daemon.ordering.load_of(server, *address).await?;
+            let report = daemon.order_executor.fetch_load_report(server, *address).await?;
             daemon.look_at_life(server, &report)?;
             let requests = u16::try_from(report.requests).unwrap_or(u16::MAX);
             Some(ServerLoad { server: daemon.path.loads.mark(server), requests })
@@ -59,10 +59,10 @@
 
     /// Takes in what a report tells of a server's life; `None` if it is of a former one.
     fn look_at_life(self: &Rc<Self>, server: &Rc<str>, report: &ServerReport) -> Option<()> {
-        match self.ordering.reported_life(server, report) {
-            ReportedLife::Former => return None,
-            ReportedLife::Newer(born) => self.learn_life(server, born),
-            ReportedLife::Present => self.ordering.compare_count(server, report),
+        match self.order_executor.reported_incarnation(server, report) {
+            ReportedIncarnation::Former => return None,
+            ReportedIncarnation::Newer(born) => self.learn_life(server, born),
+            ReportedIncarnation::Present => self.order_executor.check_order_count(server, report),
         }
         Some(())
     }
@@ -70,10 +70,10 @@
     /// Asks for replicas of the adapters that need them, at the idlest servers.
     fn wish_for_replicas(&self, loads: &[ServerLoad]) {
         let now = self.now();
-        let ordered = self.ordering.claims.borrow().orderable(now);
+        let ordered = self.order_executor.claims.borrow().orderable(now);
         let paces: HashMap<Rc<str>, Vec<(AdapterKey, f64)>> = {
-            let planner = self.ordering.planner.borrow();
-            ordered.iter().map(|id| (id.clone(), planner.paces(now, id))).collect()
+            let planner = self.order_executor.planner.borrow();
+            ordered.iter().map(|id| (id.clone(), planner.request_rates(now, id))).collect()
         };
         let per_second = paces.values().flatten().map(|(_, pace)| pace).sum();
         let running = loads.iter().map(|load| f64::from(load.requests)).sum();
@@ -147,7 +147,7 @@
     }
 
     fn share_region(&self, view: &FleetView, one: &str, other: &str) -> bool {
-        let regions = self.path.place.regions();
+        let regions = self.path.locality.regions();
         let region = |id: &str| view.backend(id).map(|backend| regions.serving(&backend.hall));
         !regions.are_many() || region(one) == region(other)
     }
@@ -168,7 +168,7 @@
             .filter(|(load, other)| is_idle(other.slots, *load))
             .filter(|(_, other)| (self.path.is_ordered)(&other.id))
             .map(|(load, other)| {
-                let far = self.path.place.is_far(&other.hall);
+                let far = self.path.locality.is_remote(&other.hall);
                 (far, self.path.loads.is_cold(now, &other.id), load, other.id.clone())
             })
             .collect();
--- a/crates/portrack/src/gateway/choosing/placing.rs
+++ b/crates/portrack/src/gateway/choosing/placing.rs
@@ -104,9 +104,9 @@
         let backend = match self.loads_lag.get() {
             true => {
                 let id = &job.request.meta.id;
-                cheaper_of_two(now, &self.loads, &self.place, id, &job.tried, open)
+                cheaper_of_two(now, &self.loads, &self.locality, id, &job.tried, open)
             }
-            false => cheapest(now, &self.loads, &self.place, &job.tried, open),
+            false => cheapest(now, &self.loads, &self.locality, &job.tried, open),
         }?;
         Some(Choice { backend, adapter_version: None, slot: None, grant: None })
     }
@@ -196,7 +196,7 @@
         let version = view.newest_version(key);
         let outdated = view.holdings.holders(now, key);
         let open = view.open_backends(service).filter(|backend| {
-            let here = at == Where::Anywhere || !self.place.is_far(&backend.hall);
+            let here = at == Where::Anywhere || !self.locality.is_remote(&backend.hall);
             let holds = backend.model(&key.model).is_some();
             let old = outdated.iter().any(|(id, _)| *id == backend.id);
             let refused = view.holdings.is_refused(now, key, &backend.id);
@@ -217,8 +217,8 @@
             .map(|backend| Home {
                 server: backend.id.clone(),
                 slots: backend.slots,
-                cost: cost(now, &self.loads, &self.place, backend),
-                is_near: !self.place.is_far(&backend.hall),
+                cost: cost(now, &self.loads, &self.locality, backend),
+                is_near: !self.locality.is_remote(&backend.hall),
                 at_hand: view.holdings.is_at_hand(key, &backend.id, version),
             })
             .collect();
@@ -301,7 +301,7 @@
             let backend = view.backend(&id)?;
             let cut = self.loads.is_hall_silent(&backend.hall);
             let open = takes(&view, now, backend) && !cut && self.may_serve(job, backend);
-            let cost = cost(now, &self.loads, &self.place, backend);
+            let cost = cost(now, &self.loads, &self.locality, backend);
             let holder = Holder { backend: backend.clone(), cost, version };
             (open && !job.is_passed_over(&backend.id)).then_some(holder)
         });
@@ -355,21 +355,21 @@
         let now = self.clock.now();
         let view = self.view.borrow();
         let open = self.candidates(&view, job);
-        let costs = open.map(|backend| cost(now, &self.loads, &self.place, backend));
+        let costs = open.map(|backend| cost(now, &self.loads, &self.locality, backend));
         let idlest = costs.fold(f64::MAX, f64::min);
         copy_pays(slots, cost_here, idlest, self.demand.asks(now, key))
     }
 
     /// True if only servers of other regions hold an adapter that is asked for again and again here.
     fn needs_near_copy(&self, key: &AdapterKey, holders: &[Holder]) -> bool {
-        let far = holders.iter().all(|holder| self.place.is_far(&holder.backend.hall));
+        let far = holders.iter().all(|holder| self.locality.is_remote(&holder.backend.hall));
         far && near_copy_pays(self.demand.asks(self.clock.now(), key))
     }
 
     /// The first of some holders, which come with the cheapest first; where loads are known late, the
     /// better of two that are chosen at random among those that are not in trouble.
     fn spread<'a>(&self, id: &str, holders: &'a [Holder], loads_lag: bool) -> Option<&'a Holder> {
-        let offer = |holder: &Holder| Offer::new(holder.cost, &self.place, &holder.backend);
+        let offer = |holder: &Holder| Offer::new(holder.cost, &self.locality, &holder.backend);
         let offers = || holders.iter().map(offer).collect::<Vec<Offer>>();
         let at = if loads_lag { better_of_two(id, &offers()) } else { 0 };
         holders.get(at)
--- a/crates/portrack/src/gateway/daemon.rs
+++ b/crates/portrack/src/gateway/daemon.rs
@@ -23,13 +23,13 @@
 use crate::gateway::news::era::EraClock;
 use crate::gateway::news::hall_feed::HallFeed;
 use crate::gateway::news::mirror::{Mirror, Mirrored};
+use crate::gateway::orders::claim_holders::ClaimHolders;
 use crate::gateway::orders::claim_records::ClaimRecords;
 use crate::gateway::orders::claims::Claims;
-use crate::gateway::orders::orderers::Orderers;
-use crate::gateway::orders::ordering::Ordering;
-use crate::gateway::orders::vacancies::Vacancies;
-use crate::gateway::quarantine::keeper::{Quarantine, QuarantineMetrics, QuarantineParts};
-use crate::gateway::regions::place::Place;
+use crate::gateway::orders::order_executor::OrderExecutor;
+use crate::gateway::orders::unclaimed_servers::UnclaimedServers;
+use crate::gateway::quarantine::coordinator::{Quarantine, QuarantineDeps, QuarantineMetrics};
+use crate::gateway::regions::locality::Locality;
 use crate::gateway::regions::traffic::RegionTraffic;
 use crate::gateway::requests::path::RequestPath;
 use crate::gateway::requests::retries::{RetryBounds, ServiceRetries};
@@ -65,7 +65,7 @@
     /// The other daemons.
     pub peers: Rc<RefCell<Peers>>,
     /// Orders to servers.
-    pub ordering: Rc<Ordering>,
+    pub order_executor: Rc<OrderExecutor>,
     /// For datagrams.
     pub messenger: Rc<Messenger>,
     /// Rises with every start.
@@ -81,7 +81,7 @@
     /// Which machine orders which server, as the store tells it.
     pub records: Rc<RefCell<ClaimRecords>>,
     /// Which other daemon orders a server.
-    pub orderers: Orderers,
+    pub claim_holders: ClaimHolders,
     /// This daemon watches the store itself.
     pub watches: Cell<bool>,
     /// From whom it learns what changes in the store.
@@ -97,7 +97,7 @@
     /// Woken when other daemons are heard again after this one was cut off.
     pub(super) reconnected: Notify,
     /// Servers that nobody orders.
-    pub vacancies: RefCell<Vacancies>,
+    pub unclaimed_servers: RefCell<UnclaimedServers>,
     /// When this daemon began.
     pub started_at: Time,
     /// Idle connections are to be closed.
@@ -111,13 +111,13 @@
 /// Tells whether this daemon or one heard lately may order a server.
 fn is_ordered(
     clock: Rc<dyn Clock>,
-    ordering: Rc<Ordering>,
-    orderers: Orderers,
+    order_executor: Rc<OrderExecutor>,
+    claim_holders: ClaimHolders,
 ) -> Box<dyn Fn(&str) -> bool> {
     Box::new(move |server| {
         let now = clock.now();
-        let ours = ordering.claims.borrow().may_order(now, server).is_some();
-        ours || orderers.address(now, server).is_some()
+        let ours = order_executor.claims.borrow().may_order(now, server).is_some();
+        ours || claim_holders.address(now, server).is_some()
     })
 }
 
@@ -152,12 +152,13 @@
         let seeds = settings.seeds.iter().map(|seed| (seed.ip(), member_port).into()).collect();
         let peers = Peers::new(settings.members, settings.limits.capacity(), seeds);
         let peers = Rc::new(RefCell::new(peers.with_regions(settings.regions())));
-        let place = Rc::new(Place::new(&settings.hall, settings.regions()));
-        let traffic = Rc::new(RegionTraffic::new(place.clone(), metrics.region_bytes.clone()));
+        let locality = Rc::new(Locality::new(&settings.hall, settings.regions()));
+        let traffic = Rc::new(RegionTraffic::new(locality.clone(), metrics.region_bytes.clone()));
         let node: Rc<str> = settings.node.as_str().into();
         let records = Rc::new(RefCell::default());
-        let orderers = Orderers { peers: peers.clone(), records: records.clone() };
-        let ordering = Rc::new(Ordering::new(clock.clone(), dialect.clone(), node, claims));
+        let claim_holders = ClaimHolders { peers: peers.clone(), records: records.clone() };
+        let order_executor =
+            Rc::new(OrderExecutor::new(clock.clone(), dialect.clone(), node, claims));
         let started_at = clock.now();
         let view = Rc::new(RefCell::new(FleetView::default()));
         let messenger =
@@ -203,7 +204,7 @@
             backpressure: backpressure.clone(),
             messenger: messenger.clone(),
             me: me.clone(),
-            place: place.clone(),
+            locality: locality.clone(),
             daemons: daemons_up.clone(),
         });
         let grants = Grants::new(GrantParts {
@@ -225,7 +226,7 @@
             },
         });
         let pool = Rc::<Pool>::default();
-        let quarantine = Quarantine::new(QuarantineParts {
+        let quarantine = Quarantine::new(QuarantineDeps {
             clock: clock.clone(),
             view: view.clone(),
             daemons: daemons_up.clone(),
@@ -261,12 +262,12 @@
             quarantine: Rc::new(quarantine),
             retries: RefCell::new(retries),
             demand: Rc::new(DemandLog::default()),
-            place,
+            locality,
             traffic,
             daemons: Cell::new(1),
             loads_lag: Cell::new(false),
             held_back: metrics.held_back.clone(),
-            is_ordered: is_ordered(clock.clone(), ordering.clone(), orderers.clone()),
+            is_ordered: is_ordered(clock.clone(), order_executor.clone(), claim_holders.clone()),
         };
         Self {
             peers,
@@ -279,7 +280,7 @@
             eras: RefCell::default(),
             kept_asked: Cell::default(),
             wants_all: Cell::new(false),
-            ordering,
+            order_executor,
             messenger,
             incarnation,
             store_seen: Cell::new(None),
@@ -287,7 +288,7 @@
             stopping_since: Cell::new(None),
             takes_no_more: Cell::new(false),
             records,
-            orderers,
+            claim_holders,
             watches: Cell::new(false),
             course: RefCell::new(course),
             around: RefCell::default(),
@@ -295,7 +296,7 @@
             proof_lost: Cell::new(false),
             feed: HallFeed::default(),
             reconnected: Notify::new(),
-            vacancies: RefCell::default(),
+            unclaimed_servers: RefCell::default(),
             started_at,
             closing: Rc::new(Notify::new()),
             closing_idle: Cell::new(false),
@@ -355,7 +356,7 @@
                     changed |= !changes.is_empty();
                     for change in &changes {
                         self.note(now, change, source);
-                        self.note_evacuation(now, change, source);
+                        self.apply_evacuation_change(now, change, source);
                     }
                 }
                 Err(error) => {
@@ -376,7 +377,7 @@
         let now = self.now();
         for change in &changes {
             self.note(now, change, REPORT_NEWS);
-            self.note_evacuation(now, change, REPORT_NEWS);
+            self.apply_evacuation_change(now, change, REPORT_NEWS);
         }
         self.path.changed.notify_waiters();
     }
@@ -401,11 +402,11 @@
 
     fn note(self: &Rc<Self>, now: Time, change: &ViewChange, source: &str) {
         let view = self.path.view.borrow();
-        let mut planner = self.ordering.planner.borrow_mut();
+        let mut planner = self.order_executor.planner.borrow_mut();
         match change {
             ViewChange::Config(version) => {
                 if let Some(config) = view.config() {
-                    planner.config(now, config.clone());
+                    planner.set_config(now, config.clone());
                     self.metrics.config_version.set(*version as i64);
                     log::info!(version = version, routes = config.routes.len(), source = source; "config_in_force");
                 }
@@ -416,21 +417,21 @@
                     self.path.coldness.borrow_mut().listed(now, backend, entry);
                     self.path.loads.lives(id, backend.mark());
                     self.path.loads.set_one_cold(id, self.cold_server(now, &view, backend));
-                    planner.server(now, backend);
+                    planner.update_server(now, backend);
                 }
             }
             ViewChange::Draining(id) => {
                 if let Some(backend) = view.backend(id) {
                     self.path.loads.lives(id, backend.mark());
-                    planner.server(now, backend);
+                    planner.update_server(now, backend);
                 }
                 self.path.pool.forget(id);
                 log::info!(server = &**id, source = source; "server_draining");
             }
             ViewChange::BornAgain { server, before } => {
-                planner.born_again(now, server);
+                planner.server_restarted(now, server);
                 self.path.pool.forget(server);
-                self.ordering.forget(server);
+                self.order_executor.forget(server);
                 self.metrics.servers_born_again.inc();
                 let (born, before) = (view.born(server).unwrap_or(0), before.unwrap_or(0));
                 log::info!(server = &**server, born = born, before = before, source = source; "server_born_again");
@@ -447,12 +448,12 @@
                 self.path.pool.forget(id);
                 self.path.loads.forget(id);
                 self.path.coldness.borrow_mut().gone(id);
-                self.ordering.forget(id);
+                self.order_executor.forget(id);
                 self.drop_claim(id);
                 log::info!(server = &**id, source = source; "server_gone");
             }
             ViewChange::Version(key, version) => {
-                planner.named(key, *version);
+                planner.announce_version(key, *version);
                 log::info!(adapter = &*key.adapter, version = version, source = source; "adapter_version");
             }
             ViewChange::HallEvacuated(_) | ViewChange::HallTakenBack(..) => {}
--- a/crates/portrack/src/gateway/dispatch/slots.rs
+++ b/crates/portrack/src/gateway/dispatch/slots.rs
@@ -11,7 +11,7 @@
 use crate::gateway::fleet::message::PeerMessage;
 use crate::gateway::fleet::messenger::Messenger;
 use crate::gateway::fleet::view::FleetView;
-use crate::gateway::regions::place::Place;
+use crate::gateway::regions::locality::Locality;
 use crate::gateway::requests::caller::{RefusalReason, Refused};
 use crate::types::Clock;
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
     /// This daemon.
     pub me: DaemonAt,
     /// Where it is.
-    pub place: Rc<Place>,
+    pub locality: Rc<Locality>,
     /// Those that may be dispatchers, kept up to date by others.
     pub daemons: Rc<RefCell<Daemons>>,
 }
@@ -99,7 +99,7 @@
 
     /// Those whose slots this daemon gives out if it is asked: the ones of its region.
     fn dispatched(&self, service: u32) -> Option<Vec<ServerSlots>> {
-        let regions = self.parts.place.regions();
+        let regions = self.parts.locality.regions();
         let ours = |hall: &str| !regions.are_many() || regions.serving(hall) == regions.own();
         let servers = self.servers(service)?.into_iter();
         Some(servers.filter(|(hall, _)| ours(hall)).map(|(_, server)| server).collect())
@@ -117,7 +117,7 @@
         };
         Some(dispatchers(
             service.into(),
-            &self.parts.place,
+            &self.parts.locality,
             &self.parts.daemons.borrow(),
             &halls,
             fits,
--- a/crates/portrack/src/gateway/dispatch/whom.rs
+++ b/crates/portrack/src/gateway/dispatch/whom.rs
@@ -4,7 +4,7 @@
 //! one dispatcher has them all.
 
 use crate::gateway::fleet::daemons::{DaemonAt, Daemons};
-use crate::gateway::regions::place::{Place, REGION_ROUND_TRIP};
+use crate::gateway::regions::locality::{Locality, REGION_ROUND_TRIP};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,12 +24,12 @@
 /// has one of theirs. `fits` tells which daemons may be asked at all.
 pub fn dispatchers(
     duty: u64,
-    place: &Place,
+    locality: &Locality,
     daemons: &Daemons,
     halls: &[Rc<str>],
     fits: impl Fn(&DaemonAt) -> bool,
 ) -> Vec<Whom> {
-    let regions = place.regions();
+    let regions = locality.regions();
     if !regions.are_many() {
         let only = daemons.first(duty, fits);
         return only
--- a/crates/portrack/src/gateway/evacuation/changes.rs
+++ b/crates/portrack/src/gateway/evacuation/changes.rs
@@ -10,7 +10,12 @@
 
 impl GatewayDaemon {
     /// Takes in what a change of the view means for evacuated halls.
-    pub(in crate::gateway) fn note_evacuation(&self, now: Time, change: &ViewChange, source: &str) {
+    pub(in crate::gateway) fn apply_evacuation_change(
+        &self,
+        now: Time,
+        change: &ViewChange,
+        source: &str,
+    ) {
         match change {
             ViewChange::HallEvacuated(hall) => self.hall_evacuated(now, hall, source),
             ViewChange::HallTakenBack(hall, evacuation) => {
@@ -19,7 +24,7 @@
             ViewChange::Backend(id) => {
                 let view = self.path.view.borrow();
                 let evacuated = view.backend(id).is_some_and(|one| view.is_evacuated(one));
-                self.ordering.planner.borrow_mut().set_evacuated(id, evacuated);
+                self.order_executor.planner.borrow_mut().set_evacuated(id, evacuated);
             }
             _ => {}
         }
@@ -53,7 +58,7 @@
 
     fn set_evacuated(&self, hall: &str, evacuated: bool) {
         let view = self.path.view.borrow();
-        let mut planner = self.ordering.planner.borrow_mut();
+        let mut planner = self.order_executor.planner.borrow_mut();
         view.backends_of(hall).for_each(|one| planner.set_evacuated(&one.id, evacuated));
         self.metrics.evacuated_halls.set(view.evacuated.all().count() as i64);
     }
--- a/crates/portrack/src/gateway/evacuation/copying.rs
+++ b/crates/portrack/src/gateway/evacuation/copying.rs
@@ -16,7 +16,7 @@
 
 impl GatewayDaemon {
     /// Sees to evacuated halls, for ever.
-    pub(in crate::gateway) async fn see_to_evacuated(self: Rc<Self>) {
+    pub(in crate::gateway) async fn run_evacuations(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(LOOK_EVERY).await;
             let now = self.now();
@@ -39,12 +39,12 @@
         if view.evacuated.all().next().is_none() {
             return Vec::new();
         }
-        let ordered = self.ordering.claims.borrow().orderable(now);
-        let planner = self.ordering.planner.borrow();
+        let ordered = self.order_executor.claims.borrow().orderable(now);
+        let planner = self.order_executor.planner.borrow();
         let backends = ordered.iter().filter_map(|id| view.backend(id));
         let leaving = backends.filter(|backend| view.is_closing(now, backend));
         let held = leaving.flat_map(|backend| {
-            let paces = planner.paces(now, &backend.id).into_iter();
+            let paces = planner.request_rates(now, &backend.id).into_iter();
             paces.map(|(key, pace)| (backend.service.clone(), key, pace))
         });
         let used = held.filter(|(_, _, pace)| *pace >= LEAST_PACE);
--- a/crates/portrack/src/gateway/evacuation/halls.rs
+++ b/crates/portrack/src/gateway/evacuation/halls.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes in that a hall is not evacuated any more.
-    pub fn take_back(&mut self, hall: &str) -> Option<Evacuation> {
+    pub fn reinstate(&mut self, hall: &str) -> Option<Evacuation> {
         self.halls.remove(hall)
     }
 
--- a/crates/portrack/src/gateway/fleet/gossip.rs
+++ b/crates/portrack/src/gateway/fleet/gossip.rs
@@ -10,8 +10,8 @@
 use crate::gateway::choosing::load::server_mark;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::AdapterKey;
-use crate::gateway::orders::ordering::NoticeSink;
-use crate::gateway::orders::planner::WishAnswer;
+use crate::gateway::orders::order_executor::NoticeSink;
+use crate::gateway::orders::planner::LoadRequestAnswer;
 use crate::types::Time;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
             actix_rt::time::sleep(SLOTS_LOOK).await;
             self.path.slots.pass_time();
             self.path.grants.pass_time();
-            self.path.quarantine.pass_time();
+            self.path.quarantine.tick();
             self.path.backpressure.pass_time();
             self.path.leaving.pass_time();
         }
@@ -62,7 +62,7 @@
     pub async fn keep_held_requests(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(RECORDS_KEPT).await;
-            self.path.quarantine.keep_records().await;
+            self.path.quarantine.sync_records().await;
         }
     }
 
@@ -112,20 +112,20 @@
             let server: Rc<str> = wish.server.as_str().into();
             let key = key_of(&wish.model, &wish.adapter);
             let born = self.path.view.borrow().born(&server);
-            let ours = self.ordering.claims.borrow().may_order(now, &server).is_some();
+            let ours = self.order_executor.claims.borrow().may_order(now, &server).is_some();
             let answer = match ours {
                 true => {
-                    let mut planner = self.ordering.planner.borrow_mut();
-                    planner.wish(now, &server, &key, wish.version, wish.requests)
+                    let mut planner = self.order_executor.planner.borrow_mut();
+                    planner.request_load(now, &server, &key, wish.version, wish.requests)
                 }
-                false => WishAnswer::Refused,
+                false => LoadRequestAnswer::Refused,
             };
             let state = match answer {
-                WishAnswer::Held(version) => NoticeState::Held(version),
-                WishAnswer::Coming(after) => {
+                LoadRequestAnswer::Held(version) => NoticeState::Held(version),
+                LoadRequestAnswer::Coming(after) => {
                     NoticeState::Coming(wish.version, after.as_millis() as u32)
                 }
-                WishAnswer::Refused => NoticeState::Refused,
+                LoadRequestAnswer::Refused => NoticeState::Refused,
             };
             answers.push(PlacementNotice {
                 server: wish.server.clone(),
@@ -139,22 +139,22 @@
             Some(address) => self.tell_notices(&answers, &[address]),
             None => self.on_notices(&answers),
         }
-        self.ordering.begin_due(self);
+        self.order_executor.start_due_steps(self);
     }
 
     fn on_uses(&self, uses: &[AdapterUse], from: SocketAddr) {
         let now = self.now();
-        let claims = self.ordering.claims.borrow();
+        let claims = self.order_executor.claims.borrow();
         let marks: HashMap<u32, Rc<str>> =
             claims.all().map(|(id, _)| (server_mark(id), id.clone())).collect();
-        let mut planner = self.ordering.planner.borrow_mut();
+        let mut planner = self.order_executor.planner.borrow_mut();
         for used in uses {
             let Some(server) = marks.get(&used.server) else { continue };
             let key = key_of(&used.model, &used.adapter);
             if used.running || used.times > 0 {
-                planner.used(now, server, &key, used.times);
+                planner.record_use(now, server, &key, used.times);
             }
-            planner.running(now, server, &key, from, used.running);
+            planner.set_running(now, server, &key, from, used.running);
         }
     }
 
@@ -282,10 +282,10 @@
 
     /// Where the daemon that may order a server is: `Some(None)` for this one.
     fn orderer(&self, now: Time, server: &str) -> Option<Option<SocketAddr>> {
-        if self.ordering.claims.borrow().may_order(now, server).is_some() {
+        if self.order_executor.claims.borrow().may_order(now, server).is_some() {
             return Some(None);
         }
-        self.orderers.address(now, server).map(Some)
+        self.claim_holders.address(now, server).map(Some)
     }
 
     fn tell_notices(&self, notices: &[PlacementNotice], addresses: &[SocketAddr]) {
@@ -309,7 +309,7 @@
         self.tell_notices(&notices, &addresses);
     }
 
-    fn newer_life(self: &Rc<Self>, server: &Rc<str>, born: u64) {
+    fn newer_incarnation(self: &Rc<Self>, server: &Rc<str>, born: u64) {
         self.learn_life(server, born);
     }
 }
--- a/crates/portrack/src/gateway/fleet/heartbeats.rs
+++ b/crates/portrack/src/gateway/fleet/heartbeats.rs
@@ -5,7 +5,7 @@
 use super::peers::{BEAT, PeerChange};
 use crate::gateway::choosing::load::server_mark;
 use crate::gateway::daemon::GatewayDaemon;
-use crate::gateway::regions::silence::log_change;
+use crate::gateway::regions::silence::log_silence_changes;
 use crate::types::Time;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -70,8 +70,9 @@
         let targets = self.peers.borrow_mut().targets(now);
         // To other regions requests at servers would come too seldom to count; orderers tell loads there.
         let spares_far = self.peers.borrow().spares_far();
-        let (far, near): (Vec<SocketAddr>, Vec<SocketAddr>) =
-            targets.into_iter().partition(|target| spares_far && self.path.traffic.is_far(*target));
+        let (far, near): (Vec<SocketAddr>, Vec<SocketAddr>) = targets
+            .into_iter()
+            .partition(|target| spares_far && self.path.traffic.is_remote(*target));
         let brief = Heartbeat { work: Vec::new(), ..heartbeat.clone() };
         near.into_iter().for_each(|to| self.tell(&PeerMessage::Heartbeat(heartbeat.clone()), to));
         far.into_iter().for_each(|to| self.tell(&PeerMessage::Heartbeat(brief.clone()), to));
@@ -82,7 +83,7 @@
         self.path.grants.loads_lag.set(loads_lag);
         self.path.grants.know(self.peers.borrow().all());
         self.look_at_halls(now);
-        self.ordering.planner.borrow_mut().daemons(up + 1);
+        self.order_executor.planner.borrow_mut().set_daemon_count(up + 1);
         self.metrics.peers_up.set(up as i64);
         let daemons = self.daemons_that_stay(now);
         self.path.traffic.set_daemons(&daemons);
@@ -108,7 +109,7 @@
         let before = self.path.loads.silent_halls();
         if silent != before {
             log::warn!(halls:? = silent, before:? = before; "silent_halls");
-            log_change(self.path.place.regions(), &before, &silent);
+            log_silence_changes(self.path.locality.regions(), &before, &silent);
             self.path.loads.set_silent_halls(silent);
         }
     }
@@ -146,7 +147,7 @@
     }
 
     fn orderable_marks(&self, now: Time) -> Vec<u32> {
-        let orderable = self.ordering.claims.borrow().orderable(now);
+        let orderable = self.order_executor.claims.borrow().orderable(now);
         self.metrics.servers_ordered.set(orderable.len() as i64);
         orderable.iter().map(|id| server_mark(id)).collect()
     }
@@ -172,7 +173,7 @@
         }
         self.introduce_to(now, address, heard);
         if change == Some(PeerChange::Up) {
-            self.path.quarantine.introduce(address);
+            self.path.quarantine.send_snapshot(address);
             self.path.backpressure.introduce(address);
             self.path.leaving.introduce(address);
         }
--- a/crates/portrack/src/gateway/fleet/messenger.rs
+++ b/crates/portrack/src/gateway/fleet/messenger.rs
@@ -28,7 +28,7 @@
         };
         let _ = self.socket.try_send_to(&bytes, to);
         self.sent_bytes.inc_by(bytes.len() as u64);
-        self.traffic.with_daemon(message.kind(), to, bytes.len());
+        self.traffic.count_daemon_bytes(message.kind(), to, bytes.len());
     }
 
     /// Waits for a datagram, and tells its length and sender.
--- a/crates/portrack/src/gateway/fleet/view.rs
+++ b/crates/portrack/src/gateway/fleet/view.rs
@@ -206,7 +206,7 @@
         match key {
             ItemKey::Backend(id) => self.remove_backend(&id),
             ItemKey::EvacuatedHall(hall) => {
-                let before = self.evacuated.take_back(&hall);
+                let before = self.evacuated.reinstate(&hall);
                 before.map(|before| ViewChange::HallTakenBack(hall, before)).into_iter().collect()
             }
             ItemKey::Config | ItemKey::AdapterVersion | ItemKey::Unknown => Vec::new(),
--- a/crates/portrack/src/gateway/mod.rs
+++ b/crates/portrack/src/gateway/mod.rs
@@ -95,26 +95,29 @@
 pub use news::pacing::WatchPacing;
 pub use news::report::{NewsReport, Standing};
 pub use news::step::EraStep;
+pub use orders::claim_holders::ClaimHolders;
 pub use orders::claim_record::{ClaimKey, ClaimRecord, RecordEras};
 pub use orders::claim_records::{ClaimRecords, SeenRecord};
 pub use orders::claims::{Claim, Claims, Predecessor};
 pub use orders::fetch_limit::FetchLimit;
 pub use orders::load_budget::LoadBudget;
-pub use orders::orderers::Orderers;
-pub use orders::ordering::{NoticeSink, Ordering};
-pub use orders::planner::{LoadProgress, Plan, PlanEnd, PlannedLoad, Planner, WishAnswer};
-pub use orders::vacancies::{Candidates, ClaimTry, Claimant, Vacancies};
-pub use quarantine::ends::{EndEvidence, LostRequest, ServerEnds};
-pub use quarantine::keeper::{Quarantine, QuarantineMetrics, QuarantineParts};
-pub use quarantine::mark::{MarkedCaller, MarkedRequest, RequestMark};
+pub use orders::order_executor::{NoticeSink, OrderExecutor};
+pub use orders::planner::{
+    LoadProgress, LoadRequestAnswer, Plan, PlanOutcome, PlannedLoad, Planner,
+};
+pub use orders::unclaimed_servers::{Candidates, ClaimAttempt, Claimant, UnclaimedServers};
+pub use quarantine::coordinator::{Quarantine, QuarantineDeps, QuarantineMetrics};
+pub use quarantine::ends::{EndCheck, LostRequest, ServerEnds};
+pub use quarantine::fingerprint::{CallerIdentity, FingerprintInput, RequestFingerprint};
 pub use quarantine::message::{EndReport, HoldReport, QuarantineMessage};
 pub use quarantine::record::HoldRecord;
-pub use quarantine::state::{LearnedFrom, QuarantineChange, QuarantineState};
-pub use quarantine::suspects::{
-    Cleared, Counted, HeldRequest, MOST_ENDS, SendVerdict, ServerEnd, Suspects, Trial, Unrecorded,
+pub use quarantine::state::{ChangeSource, QuarantineChange, QuarantineState};
+pub use quarantine::suspect_requests::{
+    Cleared, CountOutcome, HeldRequest, MOST_ENDS, SendVerdict, ServerEnd, SuspectRequests, Trial,
+    Unrecorded,
 };
-pub use regions::allowed::RegionBounds;
-pub use regions::place::Place;
+pub use regions::allowed::RegionConstraints;
+pub use regions::locality::Locality;
 pub use regions::silence::silent_regions;
 pub use requests::caller::{
     CallerGone, CallerRequest, RefusalReason, Refused, ReplyHead, ReplySink,
--- a/crates/portrack/src/gateway/news/returning.rs
+++ b/crates/portrack/src/gateway/news/returning.rs
@@ -20,7 +20,7 @@
         let era = self.store.era().max(self.mirror.borrow().era());
         let change = self.eras.borrow_mut().learn(now, era);
         let Some(EraChange { before, era }) = change else { return };
-        self.ordering.claims.borrow_mut().store_came_back(now);
+        self.order_executor.claims.borrow_mut().store_came_back(now);
         self.metrics.store_returns.inc();
         log::warn!(before:% = before, era:% = era, news_age_ms = self.news_age().millis(); "store_era_changed");
     }
@@ -30,7 +30,7 @@
         let told = self.records.borrow().eras();
         let mut eras = self.eras.borrow_mut();
         eras.learn_first(told.first);
-        let mut claims = self.ordering.claims.borrow_mut();
+        let mut claims = self.order_executor.claims.borrow_mut();
         claims.set_fence_base(eras.fence_base());
         if let Some(began_at) = eras.began_at() {
             claims.lost_until_after(began_at);
@@ -90,7 +90,7 @@
         let items: Vec<MirrorItem> = self.mirror.borrow().all().collect();
         let kept_items = self.mirror.borrow().kept_items();
         self.path.quarantine.store_came_back(&items, &kept_items);
-        self.records.replace(ClaimRecords::of(items.into_iter()));
+        self.records.replace(ClaimRecords::from_items(items.into_iter()));
         self.look_for_unseen_return();
         if before.era.is_told() {
             let (changed, for_ms) = (changes.len(), KEPT_FOR.as_millis() as u64);
--- a/crates/portrack/src/gateway/orders/orderers.rs
+++ b/crates/portrack/src/gateway/orders/claim_holders.rs
@@ -10,14 +10,14 @@
 
 /// What heartbeats and the store say of who orders which server.
 #[derive(Clone)]
-pub struct Orderers {
+pub struct ClaimHolders {
     /// The other daemons.
     pub peers: Rc<RefCell<Peers>>,
     /// The claims in the store.
     pub records: Rc<RefCell<ClaimRecords>>,
 }
 
-impl Orderers {
+impl ClaimHolders {
     /// Where the daemon is that orders a server. Where all daemons hear each heartbeat, these are
     /// fresher than the store's records; in larger fleets they come once in several seconds.
     pub fn address(&self, now: Time, server: &str) -> Option<SocketAddr> {
--- a/crates/portrack/src/gateway/orders/claim_records.rs
+++ b/crates/portrack/src/gateway/orders/claim_records.rs
@@ -25,7 +25,7 @@
 
 impl ClaimRecords {
     /// Everything that concerns claims among some items.
-    pub fn of(items: impl Iterator<Item = MirrorItem>) -> Self {
+    pub fn from_items(items: impl Iterator<Item = MirrorItem>) -> Self {
         let mut records = Self::default();
         for MirrorItem { key, revision, value } in items {
             if let Some(value) = value {
@@ -62,15 +62,15 @@
             (Some(ClaimKey::Server(server)), Mirrored::Put(held)) => {
                 let record = ClaimRecord::read(&held.value);
                 let revision = held.revision;
-                self.saw(server, record.map(|record| SeenRecord { revision, record }));
+                self.observe(server, record.map(|record| SeenRecord { revision, record }));
             }
-            (Some(ClaimKey::Server(server)), Mirrored::Gone(_)) => self.saw(server, None),
+            (Some(ClaimKey::Server(server)), Mirrored::Gone(_)) => self.observe(server, None),
         }
         true
     }
 
     /// Records what a call found; a record older than the one known changes nothing.
-    pub fn saw(&mut self, server: &str, seen: Option<SeenRecord>) {
+    pub fn observe(&mut self, server: &str, seen: Option<SeenRecord>) {
         let Some(seen) = seen else {
             self.records.remove(server);
             return;
--- a/crates/portrack/src/gateway/orders/claiming.rs
+++ b/crates/portrack/src/gateway/orders/claiming.rs
@@ -3,7 +3,7 @@
 use super::claim_record::{ClaimKey, ClaimRecord, RecordEras};
 use super::claim_records::SeenRecord;
 use super::claims::{Claim, Predecessor};
-use super::vacancies::{Candidates, ClaimTry, Claimant};
+use super::unclaimed_servers::{Candidates, ClaimAttempt, Claimant};
 use crate::gateway::choosing::load::server_mark;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::fleet::backend::Backend;
@@ -66,7 +66,7 @@
             }
             let era = self.mirror.borrow().era();
             let tries = self.tries();
-            let holds_any = self.ordering.claims.borrow().all().next().is_some();
+            let holds_any = self.order_executor.claims.borrow().all().next().is_some();
             if tries.is_empty() && !holds_any {
                 continue;
             }
@@ -88,17 +88,17 @@
     pub async fn plan_steps(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(PLAN_EVERY).await;
-            self.ordering.begin_due(&self);
+            self.order_executor.start_due_steps(&self);
         }
     }
 
     /// Renews the lease, for ever.
     pub async fn renew_lease(self: Rc<Self>) {
-        let every = self.ordering.claims.borrow().ttl() / RENEWALS;
+        let every = self.order_executor.claims.borrow().ttl() / RENEWALS;
         loop {
             actix_rt::time::sleep(every).await;
             let now = self.now();
-            let lease = self.ordering.claims.borrow_mut().lease_in_use(now);
+            let lease = self.order_executor.claims.borrow_mut().lease_in_use(now);
             if let Some(lease) = lease {
                 actix_rt::spawn(self.clone().renew(lease, now));
             }
@@ -110,9 +110,9 @@
         // A lease of a former era is over, and its id may be another one's by now.
         self.note_era();
         match answer {
-            Ok(true) => self.ordering.claims.borrow_mut().renewed(lease, sent_at),
+            Ok(true) => self.order_executor.claims.borrow_mut().renewed(lease, sent_at),
             Ok(false) => {
-                let mut claims = self.ordering.claims.borrow_mut();
+                let mut claims = self.order_executor.claims.borrow_mut();
                 if claims.lease(sent_at) == Some(lease) {
                     claims.lapsed();
                     log::warn!(lease = lease; "lease_lost");
@@ -125,18 +125,18 @@
     /// True once there is a living lease and the claims were confirmed under it.
     async fn has_lease(&self) -> bool {
         let asked_at = self.now();
-        if self.ordering.claims.borrow().lease(asked_at).is_some() {
+        if self.order_executor.claims.borrow().lease(asked_at).is_some() {
             return true;
         }
         let era = self.store.era();
-        let ttl = self.ordering.claims.borrow().ttl();
+        let ttl = self.order_executor.claims.borrow().ttl();
         let live = ClaimRecord::live_key(&self.machine());
         let Ok(held) = self.store.get(&live).await else { return false };
         let Ok(lease) = self.store.grant_lease(ttl).await else { return false };
         let mut transaction = KvTransaction::default();
         transaction.expected.push((live.clone(), held.map_or(0, |held| held.revision)));
         let claims: Vec<(Rc<str>, Claim)> = {
-            let claims = self.ordering.claims.borrow();
+            let claims = self.order_executor.claims.borrow();
             claims.all().map(|(id, claim)| (id.clone(), *claim)).collect()
         };
         for (server, claim) in claims.iter().take(ENTRIES) {
@@ -149,9 +149,9 @@
             _ if self.store.era() != era => false,
             Ok(KvOutcome::Committed(_)) => {
                 for (server, _) in claims.iter().skip(ENTRIES) {
-                    self.ordering.claims.borrow_mut().dropped(server);
+                    self.order_executor.claims.borrow_mut().dropped(server);
                 }
-                self.ordering.claims.borrow_mut().leased(lease, asked_at);
+                self.order_executor.claims.borrow_mut().leased(lease, asked_at);
                 log::info!(lease = lease, claims = claims.len(); "lease_taken");
                 true
             }
@@ -173,17 +173,17 @@
             let key = ClaimRecord::key(server);
             let now_at = held.iter().find(|held| held.key == key).map(|held| held.revision);
             if now_at != Some(claim.revision) {
-                self.ordering.claims.borrow_mut().dropped(server);
+                self.order_executor.claims.borrow_mut().dropped(server);
                 log::warn!(server = &**server, fence = claim.fence; "claim_lost");
             }
         }
     }
 
-    fn tries(&self) -> Vec<ClaimTry> {
+    fn tries(&self) -> Vec<ClaimAttempt> {
         let now = self.now();
         let view = self.path.view.borrow();
         let peers = self.peers.borrow();
-        let claims = self.ordering.claims.borrow();
+        let claims = self.order_executor.claims.borrow();
         let records = self.records.borrow();
         let engines = || view.backends().filter(|backend| is_engine(&view, backend));
         let machine = self.machine();
@@ -192,8 +192,8 @@
             !backend.draining && !claims.has(&backend.id) && !held
         });
         let vacant: Vec<Rc<str>> = vacant.map(|backend| backend.id.clone()).collect();
-        let mut vacancies = self.vacancies.borrow_mut();
-        vacancies.update(now, &vacant);
+        let mut unclaimed_servers = self.unclaimed_servers.borrow_mut();
+        unclaimed_servers.update(now, &vacant);
         if vacant.is_empty() {
             return Vec::new();
         }
@@ -218,7 +218,7 @@
             hall.and_then(|hall| by_hall.get(&hall).cloned()).unwrap_or_default()
         };
         let heard = |machine: &str| peers.heard_within(now, machine, HEARD_WITHIN);
-        vacancies.due(now, me, &records, candidates, heard)
+        unclaimed_servers.due(now, me, &records, candidates, heard)
     }
 
     /// From when on this daemon claims servers that nobody ordered yet.
@@ -242,8 +242,8 @@
     }
 
     /// Claims some servers in one transaction: all of them, or none if one record has changed.
-    async fn claim(&self, tries: &[ClaimTry]) {
-        let tries: &[ClaimTry] = &self.with_lost_claims(tries);
+    async fn claim(&self, tries: &[ClaimAttempt]) {
+        let tries: &[ClaimAttempt] = &self.with_lost_claims(tries);
         let mut transaction = KvTransaction::default();
         for attempt in tries {
             let live = attempt.gone.as_deref().map(ClaimRecord::live_key);
@@ -267,12 +267,13 @@
     }
 
     /// The same tries, with what may have been lost with the store's newest part.
-    fn with_lost_claims(&self, tries: &[ClaimTry]) -> Vec<ClaimTry> {
-        let (now, claims) = (self.now(), self.ordering.claims.borrow());
-        let before = |attempt: &ClaimTry| claims.predecessor(now, &attempt.server, attempt.before);
+    fn with_lost_claims(&self, tries: &[ClaimAttempt]) -> Vec<ClaimAttempt> {
+        let (now, claims) = (self.now(), self.order_executor.claims.borrow());
+        let before =
+            |attempt: &ClaimAttempt| claims.predecessor(now, &attempt.server, attempt.before);
         tries
             .iter()
-            .map(|attempt| ClaimTry { before: before(attempt), ..attempt.clone() })
+            .map(|attempt| ClaimAttempt { before: before(attempt), ..attempt.clone() })
             .collect()
     }
 
@@ -283,12 +284,12 @@
         ClaimRecord { machine: self.machine(), settled, resigned, eras }
     }
 
-    fn claimed(&self, attempt: &ClaimTry, revision: u64) {
+    fn claimed(&self, attempt: &ClaimAttempt, revision: u64) {
         let now = self.now();
-        let mut claims = self.ordering.claims.borrow_mut();
+        let mut claims = self.order_executor.claims.borrow_mut();
         claims.claimed(now, &attempt.server, revision, attempt.before);
         drop(claims);
-        self.ordering.claimed(&attempt.server);
+        self.order_executor.claimed(&attempt.server);
         log::info!(server = &*attempt.server, record = revision, before:? = attempt.before; "server_claimed");
     }
 
@@ -301,12 +302,12 @@
         if holder.is_none_or(|holder| holder == self.machine()) {
             return;
         }
-        if self.ordering.claims.borrow_mut().overtaken(server, held.revision) {
+        if self.order_executor.claims.borrow_mut().overtaken(server, held.revision) {
             log::warn!(server = server, record = held.revision; "claim_overtaken");
         }
     }
 
-    fn claim_refused(&self, tries: &[ClaimTry], held: &[KvHeld]) {
+    fn claim_refused(&self, tries: &[ClaimAttempt], held: &[KvHeld]) {
         for attempt in tries {
             let key = ClaimRecord::key(&attempt.server);
             let live = attempt.gone.as_deref().map(ClaimRecord::live_key);
@@ -318,32 +319,32 @@
                 holder = attempt.gone.as_deref().unwrap_or_default(), holder_alive = alive;
                 "claim_refused"
             );
-            self.saw(&attempt.server, record);
+            self.observe(&attempt.server, record);
         }
     }
 
     /// Reads the records of a transaction that may have been carried out.
-    async fn look_up(&self, tries: &[ClaimTry]) {
+    async fn look_up(&self, tries: &[ClaimAttempt]) {
         for attempt in tries {
             if let Ok(held) = self.store.get(&ClaimRecord::key(&attempt.server)).await {
-                self.saw(&attempt.server, held.as_ref());
+                self.observe(&attempt.server, held.as_ref());
             }
         }
     }
 
-    fn saw(&self, server: &str, held: Option<&KvHeld>) {
+    fn observe(&self, server: &str, held: Option<&KvHeld>) {
         let seen = held.and_then(|held| {
             let record = ClaimRecord::read(&held.value)?;
             Some(SeenRecord { revision: held.revision, record })
         });
-        self.records.borrow_mut().saw(server, seen);
+        self.records.borrow_mut().observe(server, seen);
     }
 
     /// Writes down that nobody else's orders have to be waited for any more.
     async fn settle(&self) {
         let now = self.now();
         let due: Vec<(Rc<str>, u64)> = {
-            let claims = self.ordering.claims.borrow();
+            let claims = self.order_executor.claims.borrow();
             let unsettled = claims.all().filter(|(_, c)| !c.settled && now >= c.orders_from);
             unsettled.map(|(id, claim)| (id.clone(), claim.revision)).collect()
         };
@@ -355,7 +356,7 @@
             }
             match self.store.transact(&transaction).await {
                 Ok(KvOutcome::Committed(revision)) => {
-                    let mut claims = self.ordering.claims.borrow_mut();
+                    let mut claims = self.order_executor.claims.borrow_mut();
                     chunk.iter().for_each(|(server, _)| claims.settled(server, revision));
                 }
                 Ok(KvOutcome::Conflict(_) | KvOutcome::NoLease) | Err(_) => {
@@ -367,7 +368,7 @@
 
     /// Drops the claim of a server that is gone, and its record.
     pub fn drop_claim(self: &Rc<Self>, server: &Rc<str>) {
-        let Some(claim) = self.ordering.claims.borrow_mut().dropped(server) else { return };
+        let Some(claim) = self.order_executor.claims.borrow_mut().dropped(server) else { return };
         let (daemon, key) = (self.clone(), ClaimRecord::key(server));
         actix_rt::spawn(async move {
             let _ = daemon.store.remove(&key, claim.revision).await;
@@ -378,14 +379,14 @@
     pub async fn resign(&self) {
         self.note_era();
         let now = self.now();
-        let lease = self.ordering.claims.borrow().lease(now);
+        let lease = self.order_executor.claims.borrow().lease(now);
         let claims: Vec<(Rc<str>, Claim)> = {
-            let claims = self.ordering.claims.borrow();
+            let claims = self.order_executor.claims.borrow();
             claims.all().map(|(id, claim)| (id.clone(), *claim)).collect()
         };
         let mut transaction = KvTransaction::default();
         for (server, claim) in claims.iter().take(ENTRIES / 2) {
-            self.ordering.claims.borrow_mut().dropped(server);
+            self.order_executor.claims.borrow_mut().dropped(server);
             let settled = claim.settled;
             let record = self.own_record(settled, true);
             replace_record(&mut transaction, server, claim.revision, &record);
--- a/crates/portrack/src/gateway/orders/mod.rs
+++ b/crates/portrack/src/gateway/orders/mod.rs
@@ -5,6 +5,7 @@
 //! use is never dropped.
 
 pub(in crate::gateway) mod adapter_demand;
+pub(in crate::gateway) mod claim_holders;
 pub(in crate::gateway) mod claim_record;
 pub(in crate::gateway) mod claim_records;
 pub(in crate::gateway) mod claiming;
@@ -12,8 +13,7 @@
 pub(in crate::gateway) mod fetch_limit;
 pub(in crate::gateway) mod load_budget;
 pub(in crate::gateway) mod order_call;
-pub(in crate::gateway) mod orderers;
-pub(in crate::gateway) mod ordering;
+pub(in crate::gateway) mod order_executor;
 pub(in crate::gateway) mod planned_server;
 pub(in crate::gateway) mod planner;
-pub(in crate::gateway) mod vacancies;
+pub(in crate::gateway) mod unclaimed_servers;
--- a/crates/portrack/src/gateway/orders/order_call.rs
+++ b/crates/portrack/src/gateway/orders/order_call.rs
@@ -69,7 +69,7 @@
     }
 
     /// Has the head of each answer told from now on; the first one who asks hears.
-    pub fn hear_answers(&self, heard: AnswerHeard) {
+    pub fn set_response_hook(&self, heard: AnswerHeard) {
         let _ = self.heard.set(heard);
     }
 
--- a/crates/portrack/src/gateway/orders/ordering.rs
+++ b/crates/portrack/src/gateway/orders/order_executor.rs
@@ -3,7 +3,7 @@
 
 use super::claims::Claims;
 use super::order_call::{AnswerHeard, Called, OrderCall, OrderCalls};
-use super::planner::{LoadProgress, Plan, PlanEnd, PlannedLoad, Planner};
+use super::planner::{LoadProgress, Plan, PlanOutcome, PlannedLoad, Planner};
 use crate::gateway::dialect::{AdapterKey, Dialect, Order, OrderAnswer, OrderKind, ServerReport};
 use crate::gateway::fleet::message::{NoticeState, PlacementNotice};
 use crate::types::{Clock, Time};
@@ -51,12 +51,12 @@
     /// Takes notices of one step.
     fn notices(&self, notices: Vec<PlacementNotice>);
     /// A server reports of a life that started later than the one believed in.
-    fn newer_life(self: &Rc<Self>, server: &Rc<str>, born: u64);
+    fn newer_incarnation(self: &Rc<Self>, server: &Rc<str>, born: u64);
 }
 
 /// Which life a report is of, compared with the one believed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::gateway) enum ReportedLife {
+pub(in crate::gateway) enum ReportedIncarnation {
     /// That one, as far as it tells.
     Present,
     /// One that started later.
@@ -82,7 +82,7 @@
 }
 
 /// Sends orders.
-pub struct Ordering {
+pub struct OrderExecutor {
     clock: Rc<dyn Clock>,
     dialect: Rc<dyn Dialect>,
     node: Rc<str>,
@@ -94,7 +94,7 @@
     pub planner: RefCell<Planner>,
 }
 
-impl Ordering {
+impl OrderExecutor {
     /// Nothing ordered yet.
     pub fn new(
         clock: Rc<dyn Clock>,
@@ -131,23 +131,23 @@
     }
 
     /// Has the heads of answers to orders and to questions for reports told.
-    pub(in crate::gateway) fn hear_answers(&self, heard: AnswerHeard) {
-        self.calls.hear_answers(heard);
+    pub(in crate::gateway) fn set_response_hook(&self, heard: AnswerHeard) {
+        self.calls.set_response_hook(heard);
     }
 
     /// Begins every step that is due.
-    pub fn begin_due(self: &Rc<Self>, sink: &Rc<impl NoticeSink + 'static>) {
+    pub fn start_due_steps(self: &Rc<Self>, sink: &Rc<impl NoticeSink + 'static>) {
         let now = self.clock.now();
         let orderable = self.claims.borrow().orderable(now);
-        for (server, address) in self.planner.borrow().unsurveyed(&orderable) {
+        for (server, address) in self.planner.borrow().needing_survey(&orderable) {
             self.begin_survey(server, address, sink);
         }
         let (plans, given_up) = self.planner.borrow_mut().plan(now, &orderable);
         for plan in plans {
-            let (ordering, sink) = (self.clone(), sink.clone());
-            actix_rt::spawn(async move { ordering.carry_out(plan, &*sink).await });
+            let (order_executor, sink) = (self.clone(), sink.clone());
+            actix_rt::spawn(async move { order_executor.carry_out(plan, &*sink).await });
         }
-        let born = |server: &str| self.planner.borrow().life(server).flatten();
+        let born = |server: &str| self.planner.borrow().incarnation(server).flatten();
         let refused = given_up.iter().map(|(server, key)| PlacementNotice {
             server: server.to_string(),
             model: key.model.to_string(),
@@ -169,10 +169,10 @@
         if line.surveying.replace(true) {
             return;
         }
-        let (ordering, sink) = (self.clone(), sink.clone());
+        let (order_executor, sink) = (self.clone(), sink.clone());
         actix_rt::spawn(async move {
-            if let Some(born) = ordering.survey(&server, address, &line).await {
-                sink.newer_life(&server, born);
+            if let Some(born) = order_executor.survey(&server, address, &line).await {
+                sink.newer_incarnation(&server, born);
             }
             line.surveying.set(false);
         });
@@ -190,18 +190,21 @@
         let took_ms = now.since(began).as_millis() as u64;
         if let PlannedLoad::Adapter(key, version) = &plan.load {
             let state = match end {
-                PlanEnd::Done => Some(NoticeState::Held(*version)),
-                PlanEnd::Refused | PlanEnd::NotSent | PlanEnd::Unknown => {
+                PlanOutcome::Done => Some(NoticeState::Held(*version)),
+                PlanOutcome::Refused | PlanOutcome::NotSent | PlanOutcome::Unknown => {
                     Some(NoticeState::Refused)
                 }
-                PlanEnd::InUse | PlanEnd::Busy | PlanEnd::Uncounted | PlanEnd::Overtaken => None,
+                PlanOutcome::InUse
+                | PlanOutcome::Busy
+                | PlanOutcome::Uncounted
+                | PlanOutcome::Overtaken => None,
             };
             sink.notices(state.map(|state| notice(&plan, key, state)).into_iter().collect());
         }
         self.log(&plan, end, took_ms);
     }
 
-    fn log(&self, plan: &Plan, end: PlanEnd, took_ms: u64) {
+    fn log(&self, plan: &Plan, end: PlanOutcome, took_ms: u64) {
         let (adapter, version) = match &plan.load {
             PlannedLoad::Base(_) => ("", 0),
             PlannedLoad::Adapter(key, version) => (&*key.adapter, *version),
@@ -215,7 +218,7 @@
         );
     }
 
-    async fn steps(&self, plan: &Plan, sink: &impl NoticeSink) -> (PlanEnd, Option<Duration>) {
+    async fn steps(&self, plan: &Plan, sink: &impl NoticeSink) -> (PlanOutcome, Option<Duration>) {
         if let Some(victim) = &plan.evict {
             sink.notices(vec![notice(plan, victim, NoticeState::Absent)]);
             let order = self.adapter_order(OrderKind::Unload, victim, None);
@@ -223,7 +226,7 @@
                 Ordered::Answer(OrderAnswer::Holds) => {
                     self.planner.borrow_mut().evicted(&plan.server, victim);
                 }
-                Ordered::Answer(OrderAnswer::Accepted) => return (PlanEnd::InUse, None),
+                Ordered::Answer(OrderAnswer::Accepted) => return (PlanOutcome::InUse, None),
                 other => return (end_of(other), None),
             }
         }
@@ -271,7 +274,7 @@
         key: &AdapterKey,
         version: u64,
         sink: &impl NoticeSink,
-    ) -> PlanEnd {
+    ) -> PlanOutcome {
         let began = self.clock.now();
         let first = self.order(plan, self.adapter_order(OrderKind::Load, key, Some(version))).await;
         match first {
@@ -287,17 +290,17 @@
             let order = self.adapter_order(OrderKind::Load, key, Some(version));
             match self.confirm(plan, order, key, version).await {
                 Err(LoadProgress::Held) | Ok(Ordered::Answer(OrderAnswer::Holds)) => {
-                    return PlanEnd::Done;
+                    return PlanOutcome::Done;
                 }
-                Err(_) => return PlanEnd::Overtaken,
+                Err(_) => return PlanOutcome::Overtaken,
                 Ok(Ordered::Answer(OrderAnswer::Accepted | OrderAnswer::Busy)) => {}
-                Ok(Ordered::Answer(_)) => return PlanEnd::Refused,
+                Ok(Ordered::Answer(_)) => return PlanOutcome::Refused,
                 Ok(Ordered::Unknown | Ordered::Uncounted) => {}
-                Ok(Ordered::NotSent) => return PlanEnd::Unknown,
+                Ok(Ordered::NotSent) => return PlanOutcome::Unknown,
             }
             actix_rt::time::sleep(CONFIRM_EVERY).await;
         }
-        PlanEnd::Unknown
+        PlanOutcome::Unknown
     }
 
     /// Sends an order again that the server has taken: it answers whether it holds by now, and
@@ -365,14 +368,14 @@
 
     /// True unless the server is gone or has started again since the step was planned.
     fn is_same_life(&self, plan: &Plan) -> bool {
-        self.planner.borrow().life(&plan.server) == Some(plan.born)
+        self.planner.borrow().incarnation(&plan.server) == Some(plan.born)
     }
 
     /// The server's state is not known any more: its report is read before the next order.
     fn unsure(&self, server: &str, line: &ServerLine) {
         line.orders_taken.set(None);
         line.ordered_at.set(self.clock.now());
-        self.planner.borrow_mut().unsure(server);
+        self.planner.borrow_mut().invalidate_survey(server);
     }
 
     /// Reads a server's report, once it can no longer be older than this daemon's last orders. Returns the
@@ -388,10 +391,10 @@
         let _turn = line.turn.lock().await;
         let read = self.read_report(server, address, REPORT_PATIENCE).await;
         let report = read.filter(|_| Rc::ptr_eq(line, &self.line(server)))?;
-        match self.reported_life(server, &report) {
-            ReportedLife::Present => {}
-            ReportedLife::Newer(born) => return Some(born),
-            ReportedLife::Former => {
+        match self.reported_incarnation(server, &report) {
+            ReportedIncarnation::Present => {}
+            ReportedIncarnation::Newer(born) => return Some(born),
+            ReportedIncarnation::Former => {
                 // Asked again after the lag of a report, not at once.
                 line.ordered_at.set(self.clock.now());
                 return None;
@@ -403,22 +406,22 @@
     }
 
     /// Which life of a server a report is of.
-    pub(in crate::gateway) fn reported_life(
+    pub(in crate::gateway) fn reported_incarnation(
         &self,
         server: &str,
         report: &ServerReport,
-    ) -> ReportedLife {
-        let believed = self.planner.borrow().life(server).flatten();
+    ) -> ReportedIncarnation {
+        let believed = self.planner.borrow().incarnation(server).flatten();
         match (report.born, believed) {
-            (Some(told), Some(believed)) if told < believed => ReportedLife::Former,
-            (Some(told), Some(believed)) if told > believed => ReportedLife::Newer(told),
-            _ => ReportedLife::Present,
+            (Some(told), Some(believed)) if told < believed => ReportedIncarnation::Former,
+            (Some(told), Some(believed)) if told > believed => ReportedIncarnation::Newer(told),
+            _ => ReportedIncarnation::Present,
         }
     }
 
     /// A report counts more orders than were sent from here: a late one was carried out, and what the
     /// server holds has to be asked.
-    pub(in crate::gateway) fn compare_count(&self, server: &Rc<str>, report: &ServerReport) {
+    pub(in crate::gateway) fn check_order_count(&self, server: &Rc<str>, report: &ServerReport) {
         let line = self.line(server);
         if line.orders_taken.get().is_some_and(|known| report.orders_taken > known) {
             self.unsure(server, &line);
@@ -426,7 +429,7 @@
     }
 
     /// A server's report, for its load; `None` if it does not answer.
-    pub(in crate::gateway) async fn load_of(
+    pub(in crate::gateway) async fn fetch_load_report(
         &self,
         server: &Rc<str>,
         address: SocketAddr,
@@ -474,14 +477,14 @@
     }
 }
 
-fn end_of(ordered: Ordered) -> PlanEnd {
+fn end_of(ordered: Ordered) -> PlanOutcome {
     match ordered {
-        Ordered::Answer(OrderAnswer::Holds | OrderAnswer::Accepted) => PlanEnd::Done,
-        Ordered::Answer(OrderAnswer::Busy) => PlanEnd::Busy,
-        Ordered::Answer(_) => PlanEnd::Refused,
-        Ordered::Unknown => PlanEnd::Unknown,
-        Ordered::NotSent => PlanEnd::NotSent,
-        Ordered::Uncounted => PlanEnd::Uncounted,
+        Ordered::Answer(OrderAnswer::Holds | OrderAnswer::Accepted) => PlanOutcome::Done,
+        Ordered::Answer(OrderAnswer::Busy) => PlanOutcome::Busy,
+        Ordered::Answer(_) => PlanOutcome::Refused,
+        Ordered::Unknown => PlanOutcome::Unknown,
+        Ordered::NotSent => PlanOutcome::NotSent,
+        Ordered::Uncounted => PlanOutcome::Uncounted,
     }
 }
 
--- a/crates/portrack/src/gateway/orders/planner.rs
+++ b/crates/portrack/src/gateway/orders/planner.rs
@@ -55,7 +55,7 @@
 
 /// How a step ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlanEnd {
+pub enum PlanOutcome {
     /// It is loaded.
     Done,
     /// What was to make way is still in use; the load did not begin.
@@ -87,7 +87,7 @@
 
 /// What a wish comes to at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WishAnswer {
+pub enum LoadRequestAnswer {
     /// It is there, at this version.
     Held(u64),
     /// It is ordered or will be, and expected after this.
@@ -129,7 +129,7 @@
 
 impl Planner {
     /// Takes a configuration in. `daemons` share the loads of base models.
-    pub fn config(&mut self, now: Time, config: Rc<FleetConfig>) {
+    pub fn set_config(&mut self, now: Time, config: Rc<FleetConfig>) {
         for service in config.services.values() {
             let Some(engine) = &service.engine else { continue };
             let new = || LoadBudget::new(now, engine.loads_per_second);
@@ -140,14 +140,14 @@
     }
 
     /// Notes how many daemons share the loads of base models.
-    pub fn daemons(&mut self, daemons: usize) {
+    pub fn set_daemon_count(&mut self, daemons: usize) {
         for budget in self.budgets.values_mut() {
             budget.set_sharers(daemons);
         }
     }
 
     /// Takes a server's entry in.
-    pub fn server(&mut self, now: Time, backend: &Backend) {
+    pub fn update_server(&mut self, now: Time, backend: &Backend) {
         if let Some(server) = self.servers.get_mut(&backend.id) {
             return server.listed(now, backend);
         }
@@ -161,7 +161,7 @@
     }
 
     /// A server has started again: nothing of before holds but what was ordered and may come late.
-    pub fn born_again(&mut self, now: Time, id: &Rc<str>) {
+    pub fn server_restarted(&mut self, now: Time, id: &Rc<str>) {
         self.server_gone(id);
         self.born_again.insert(id.clone(), now);
     }
@@ -174,7 +174,7 @@
     }
 
     /// The life of a server that is believed in, by its start; `None` if the server is not known.
-    pub fn life(&self, id: &str) -> Option<Option<u64>> {
+    pub fn incarnation(&self, id: &str) -> Option<Option<u64>> {
         Some(self.servers.get(id)?.born)
     }
 
@@ -201,34 +201,34 @@
     }
 
     /// What a server holds has to be asked before it is ordered again.
-    pub fn unsure(&mut self, id: &str) {
+    pub fn invalidate_survey(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.surveyed = false;
         }
     }
 
     /// The servers, of these, whose report has to be read first, with their addresses.
-    pub fn unsurveyed(&self, orderable: &[Rc<str>]) -> Vec<(Rc<str>, SocketAddr)> {
+    pub fn needing_survey(&self, orderable: &[Rc<str>]) -> Vec<(Rc<str>, SocketAddr)> {
         let servers = orderable.iter().filter_map(|id| self.servers.get_key_value(id));
         let unsurveyed = servers.filter(|(_, server)| !server.surveyed && !server.draining);
         unsurveyed.map(|(id, server)| (id.clone(), server.address)).collect()
     }
 
     /// A newer version of an adapter is named.
-    pub fn named(&mut self, key: &AdapterKey, version: u64) {
+    pub fn announce_version(&mut self, key: &AdapterKey, version: u64) {
         let named = self.versions.entry(key.clone()).or_insert(version);
         *named = version.max(*named);
     }
 
     /// Requests used an adapter at a server.
-    pub fn used(&mut self, now: Time, server: &str, key: &AdapterKey, times: u16) {
+    pub fn record_use(&mut self, now: Time, server: &str, key: &AdapterKey, times: u16) {
         if let Some(server) = self.servers.get_mut(server) {
             server.used(now, key, times);
         }
     }
 
     /// A daemon tells whether its requests run with an adapter at a server.
-    pub fn running(
+    pub fn set_running(
         &mut self,
         now: Time,
         server: &str,
@@ -242,17 +242,17 @@
     }
 
     /// Requests wish for an adapter at a server, at this version or a newer one.
-    pub fn wish(
+    pub fn request_load(
         &mut self,
         now: Time,
         id: &Rc<str>,
         key: &AdapterKey,
         version: u64,
         requests: u16,
-    ) -> WishAnswer {
-        let Some(server) = self.servers.get_mut(id) else { return WishAnswer::Refused };
+    ) -> LoadRequestAnswer {
+        let Some(server) = self.servers.get_mut(id) else { return LoadRequestAnswer::Refused };
         if !server.is_open() || server.models.is_empty() || server.may_be_dropped(now, key) {
-            return WishAnswer::Refused;
+            return LoadRequestAnswer::Refused;
         }
         let version = version.max(self.versions.get(key).copied().unwrap_or(FIRST_VERSION));
         if let Some(slot) = server.slots.get(key)
@@ -262,12 +262,12 @@
                 SlotState::Held => {
                     let version = slot.version;
                     server.used(now, key, requests);
-                    return WishAnswer::Held(version);
+                    return LoadRequestAnswer::Held(version);
                 }
                 SlotState::Loading => {
                     let passed = now.since(slot.changed_at);
                     let left = self.fetches.typical().saturating_sub(passed);
-                    return WishAnswer::Coming(left.max(LEAST_LEFT));
+                    return LoadRequestAnswer::Coming(left.max(LEAST_LEFT));
                 }
                 SlotState::Leaving => {}
             }
@@ -280,14 +280,14 @@
         });
         let promised = self.wishes.keys().filter(|(at, other)| at == id && other != key).count();
         if room.is_some_and(|room| room <= promised) {
-            return WishAnswer::Refused;
+            return LoadRequestAnswer::Refused;
         }
         let at_hand = server.at_hand(key, version);
         self.missed.entry(key.clone()).or_default().used(now, requests);
         let fresh = Wish { version, since: now };
         let wish = self.wishes.entry((id.clone(), key.clone())).or_insert(fresh);
         wish.version = wish.version.max(version);
-        WishAnswer::Coming(match at_hand {
+        LoadRequestAnswer::Coming(match at_hand {
             true => LEAST_LEFT,
             false => self.fetches.expected(self.ahead(now, key)),
         })
@@ -311,7 +311,7 @@
     }
 
     /// The adapters loaded at a server, with their requests a second.
-    pub fn paces(&self, now: Time, server: &str) -> Vec<(AdapterKey, f64)> {
+    pub fn request_rates(&self, now: Time, server: &str) -> Vec<(AdapterKey, f64)> {
         let slots = self.servers.get(server).into_iter().flat_map(|server| &server.slots);
         let held = slots.filter(|(_, slot)| slot.state == SlotState::Held);
         held.map(|(key, slot)| (key.clone(), slot.demand.per_second(now))).collect()
@@ -464,9 +464,9 @@
     }
 
     /// A step is over. `fetch` is how long the load took, if there was one.
-    pub fn ended(&mut self, now: Time, plan: &Plan, end: PlanEnd, fetch: Option<Duration>) {
+    pub fn ended(&mut self, now: Time, plan: &Plan, end: PlanOutcome, fetch: Option<Duration>) {
         if plan.cold && matches!(plan.load, PlannedLoad::Adapter(..)) {
-            match fetch.filter(|_| end == PlanEnd::Done) {
+            match fetch.filter(|_| end == PlanOutcome::Done) {
                 Some(took) => self.fetches.fetched(took, self.servers_ordered),
                 None => self.fetches.give_back(),
             }
@@ -474,33 +474,33 @@
         let server = self.servers.get_mut(&plan.server);
         let Some(server) = server.filter(|server| server.born == plan.born) else { return };
         match end {
-            PlanEnd::Unknown => server.silent(now),
-            PlanEnd::Busy => server.busy(now),
-            PlanEnd::Done
-            | PlanEnd::InUse
-            | PlanEnd::Refused
-            | PlanEnd::NotSent
-            | PlanEnd::Uncounted
-            | PlanEnd::Overtaken => {}
+            PlanOutcome::Unknown => server.silent(now),
+            PlanOutcome::Busy => server.busy(now),
+            PlanOutcome::Done
+            | PlanOutcome::InUse
+            | PlanOutcome::Refused
+            | PlanOutcome::NotSent
+            | PlanOutcome::Uncounted
+            | PlanOutcome::Overtaken => {}
         }
         if let Some(victim) = &plan.evict
             && let Some(slot) = server.slots.get_mut(victim)
             && slot.state == SlotState::Leaving
-            && end != PlanEnd::InUse
+            && end != PlanOutcome::InUse
         {
             slot.state = SlotState::Held;
         }
         let PlannedLoad::Adapter(key, version) = &plan.load else {
-            if end != PlanEnd::Done {
+            if end != PlanOutcome::Done {
                 server.base_ordered_at = Some(now - BASE_PATIENCE.mul_f64(0.8));
             }
             return;
         };
         match end {
-            PlanEnd::Done => server.set(now, key, *version, SlotState::Held),
-            PlanEnd::Refused | PlanEnd::NotSent => server.unsettle(key, *version),
-            PlanEnd::InUse | PlanEnd::Busy | PlanEnd::Uncounted => {
-                if end == PlanEnd::Busy {
+            PlanOutcome::Done => server.set(now, key, *version, SlotState::Held),
+            PlanOutcome::Refused | PlanOutcome::NotSent => server.unsettle(key, *version),
+            PlanOutcome::InUse | PlanOutcome::Busy | PlanOutcome::Uncounted => {
+                if end == PlanOutcome::Busy {
                     server.unsettle(key, *version);
                 } else {
                     server.not_begun(key, *version);
@@ -508,7 +508,7 @@
                 let wish = Wish { version: *version, since: now - plan.waited };
                 self.wishes.entry((plan.server.clone(), key.clone())).or_insert(wish);
             }
-            PlanEnd::Unknown | PlanEnd::Overtaken => {}
+            PlanOutcome::Unknown | PlanOutcome::Overtaken => {}
         }
     }
 }
--- a/crates/portrack/src/gateway/orders/vacancies.rs
+++ b/crates/portrack/src/gateway/orders/unclaimed_servers.rs
@@ -25,7 +25,7 @@
 
 /// A try at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimTry {
+pub struct ClaimAttempt {
     /// The server.
     pub server: Rc<str>,
     /// Its record must be at this revision, 0 if it must not be there.
@@ -77,11 +77,11 @@
 
 /// The servers that nobody is known to order.
 #[derive(Debug, Clone, Default)]
-pub struct Vacancies {
+pub struct UnclaimedServers {
     servers: BTreeMap<Rc<str>, Vacancy>,
 }
 
-impl Vacancies {
+impl UnclaimedServers {
     /// Updates which servers are vacant now.
     pub fn update(&mut self, now: Time, vacant: &[Rc<str>]) {
         self.servers.retain(|id, _| vacant.contains(id));
@@ -100,7 +100,7 @@
         records: &ClaimRecords,
         candidates: impl Fn(&str) -> Candidates,
         is_heard: impl Fn(&str) -> bool,
-    ) -> Vec<ClaimTry> {
+    ) -> Vec<ClaimAttempt> {
         let mut tries = Vec::new();
         for (server, vacancy) in &mut self.servers {
             if vacancy.tried_at.is_some_and(|at| now.since(at) < TRY_AGAIN) {
@@ -139,19 +139,19 @@
     seen: Option<&SeenRecord>,
     machine: &str,
     is_heard: impl Fn(&str) -> bool,
-) -> Option<ClaimTry> {
+) -> Option<ClaimAttempt> {
     let server = server.clone();
     let before = Predecessor::of(seen.map(|seen| &seen.record), machine);
     let Some(SeenRecord { revision, record }) = seen else {
-        return Some(ClaimTry { server, revision: 0, gone: None, before });
+        return Some(ClaimAttempt { server, revision: 0, gone: None, before });
     };
     let revision = *revision;
     if record.machine == machine || record.resigned {
-        return Some(ClaimTry { server, revision, gone: None, before });
+        return Some(ClaimAttempt { server, revision, gone: None, before });
     }
     if is_heard(&record.machine) {
         return None;
     }
     let gone = Some(record.machine.clone());
-    Some(ClaimTry { server, revision, gone, before })
+    Some(ClaimAttempt { server, revision, gone, before })
 }
--- a/crates/portrack/src/gateway/quarantine/keeper.rs
+++ b/crates/portrack/src/gateway/quarantine/coordinator.rs
@@ -1,10 +1,10 @@
 //! Holds requests back on behalf of one node: evidence in, verdicts out.
 
-use super::ends::{EndEvidence, LostRequest, ServerEnds};
-use super::mark::RequestMark;
+use super::ends::{EndCheck, LostRequest, ServerEnds};
+use super::fingerprint::RequestFingerprint;
 use super::message::QuarantineMessage;
 use super::state::{QuarantineChange, QuarantineState};
-use super::suspects::{SendVerdict, ServerEnd};
+use super::suspect_requests::{SendVerdict, ServerEnd};
 use crate::gateway::connections::connection::ExchangeError;
 use crate::gateway::connections::pool::{LendError, Pool};
 use crate::gateway::fleet::backend::Backend;
@@ -26,7 +26,7 @@
 const ASKED_AFTER: Duration = Duration::from_millis(50);
 
 /// What holding requests back hangs on.
-pub struct QuarantineParts {
+pub struct QuarantineDeps {
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// What is known of the fleet.
@@ -57,24 +57,24 @@
 
 /// The requests that one node knows servers to have ended under.
 pub struct Quarantine {
-    pub(super) parts: QuarantineParts,
+    pub(super) parts: QuarantineDeps,
     pub(super) state: RefCell<QuarantineState>,
     /// Records to be removed from the store, with their revisions.
-    pub(super) released: RefCell<Vec<(RequestMark, u64)>>,
+    pub(super) released: RefCell<Vec<(RequestFingerprint, u64)>>,
     ends: RefCell<ServerEnds>,
     /// Woken when a further request is held back.
-    held_more: Notify,
+    hold_added: Notify,
 }
 
 impl Quarantine {
     /// Knows of no request yet.
-    pub fn new(parts: QuarantineParts) -> Self {
+    pub fn new(parts: QuarantineDeps) -> Self {
         Self {
             state: RefCell::new(QuarantineState::new(parts.me.clone())),
             parts,
             released: RefCell::default(),
             ends: RefCell::default(),
-            held_more: Notify::new(),
+            hold_added: Notify::new(),
         }
     }
 
@@ -84,22 +84,22 @@
     }
 
     /// True if no request is held back.
-    pub fn holds_none(&self) -> bool {
-        self.state.borrow().suspects().holds_none()
+    pub fn has_no_holds(&self) -> bool {
+        self.state.borrow().suspects().has_no_holds()
     }
 
     /// Resolves when a further request is held back.
-    pub fn held_more(&self) -> Notified<'_> {
-        self.held_more.notified()
+    pub fn hold_added(&self) -> Notified<'_> {
+        self.hold_added.notified()
     }
 
     /// Whether a request may be sent.
-    pub fn verdict(&self, mark: RequestMark) -> SendVerdict {
+    pub fn verdict(&self, mark: RequestFingerprint) -> SendVerdict {
         self.state.borrow().verdict(self.parts.clock.now(), mark)
     }
 
     /// A request's connection to a server broke.
-    pub fn lost(self: &Rc<Self>, mark: RequestMark, id: &str, backend: &Rc<Backend>) {
+    pub fn lost(self: &Rc<Self>, mark: RequestFingerprint, id: &str, backend: &Rc<Backend>) {
         if self.is_leaving(backend) {
             return;
         }
@@ -108,9 +108,9 @@
         let request = LostRequest { mark, id: id.into(), at: now };
         let evidence = self.ends.borrow_mut().lost(now, life, request.clone());
         match evidence {
-            EndEvidence::Ended => self.count(life, &request),
-            EndEvidence::Asked => {}
-            EndEvidence::Ask => {
+            EndCheck::Ended => self.count(life, &request),
+            EndCheck::Pending => {}
+            EndCheck::Start => {
                 let (quarantine, backend) = (self.clone(), backend.clone());
                 actix_rt::spawn(async move { quarantine.ask(&backend).await });
             }
@@ -163,17 +163,17 @@
         let (mark, end) = (request.mark, ServerEnd { life, at: request.at });
         let Some(ends) = self.state.borrow_mut().ended(now, mark, end) else { return };
         log::info!(request = &*request.id, mark:% = mark, ends = ends; "server_ended_under_request");
-        self.pass_time();
+        self.tick();
     }
 
     /// A server ran a request to its end and lives.
-    pub fn served(&self, mark: RequestMark) {
+    pub fn served(&self, mark: RequestFingerprint) {
         let now = self.parts.clock.now();
         let revision = self.state.borrow_mut().served(now, mark);
         if let Some(revision) = revision {
             self.released.borrow_mut().push((mark, revision));
         }
-        self.pass_time();
+        self.tick();
     }
 
     /// Takes in what another daemon tells.
@@ -184,7 +184,7 @@
     }
 
     /// Tells what is due.
-    pub fn pass_time(&self) {
+    pub fn tick(&self) {
         let now = self.parts.clock.now();
         let due = self.state.borrow_mut().due(now, &self.parts.daemons.borrow());
         for (to, message) in due {
@@ -194,7 +194,7 @@
     }
 
     /// Tells a daemon that has just come up, or is heard again, what this one knows.
-    pub fn introduce(&self, to: SocketAddr) {
+    pub fn send_snapshot(&self, to: SocketAddr) {
         for message in self.state.borrow().introduction(self.parts.clock.now()) {
             self.parts.messenger.tell(&PeerMessage::Quarantine(message), to);
         }
@@ -211,7 +211,7 @@
         for change in changes {
             match change {
                 QuarantineChange::Held(held, from) => {
-                    self.held_more.notify_waiters();
+                    self.hold_added.notify_waiters();
                     let left_ms = held.left.as_millis() as u64;
                     log::warn!(mark:% = held.mark, number = held.number, left_ms = left_ms, source = from.name(); "request_held");
                 }
--- a/crates/portrack/src/gateway/quarantine/ends.rs
+++ b/crates/portrack/src/gateway/quarantine/ends.rs
@@ -1,6 +1,6 @@
 //! Which servers have ended, as far as the requests tell that were lost there.
 
-use super::mark::RequestMark;
+use super::fingerprint::RequestFingerprint;
 use crate::types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LostRequest {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// The id of the caller's attempt, for logs.
     pub id: Box<str>,
     /// When it was found lost.
@@ -21,13 +21,13 @@
 
 /// What is to be done about a lost request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndEvidence {
+pub enum EndCheck {
     /// The server has ended.
     Ended,
     /// It has to be asked whether it lives.
-    Ask,
+    Start,
     /// It is being asked.
-    Asked,
+    Pending,
 }
 
 /// Servers that lost requests.
@@ -39,14 +39,14 @@
 
 impl ServerEnds {
     /// Takes note of a lost request at a server's life.
-    pub fn lost(&mut self, now: Time, life: u32, request: LostRequest) -> EndEvidence {
+    pub fn lost(&mut self, now: Time, life: u32, request: LostRequest) -> EndCheck {
         self.ended.retain(|_, at| now.since(*at) < REMEMBERED_FOR);
         if self.ended.contains_key(&life) {
-            return EndEvidence::Ended;
+            return EndCheck::Ended;
         }
         let asked = self.asked.contains_key(&life);
         self.asked.entry(life).or_default().push(request);
-        if asked { EndEvidence::Asked } else { EndEvidence::Ask }
+        if asked { EndCheck::Pending } else { EndCheck::Start }
     }
 
     /// The server's life has ended: all requests that were lost there meanwhile.
--- a/crates/portrack/src/gateway/quarantine/mark.rs
+++ b/crates/portrack/src/gateway/quarantine/fingerprint.rs
@@ -12,7 +12,7 @@
 /// Who sends a request, as far as tries of the same one are concerned. An address says nothing: tries of one
 /// request came from addresses of four data halls, two of them within a millisecond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MarkedCaller<'a> {
+pub enum CallerIdentity<'a> {
     /// An organisation, where callers show keys: whichever of its keys it shows, from wherever.
     Organisation(&'a str),
     /// Nobody knows: what has the same path and body crashes servers whoever sends it.
@@ -21,9 +21,9 @@
 
 /// What is the same for all tries of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct MarkedRequest<'a> {
+pub struct FingerprintInput<'a> {
     /// Who sends it, if that is known.
-    pub caller: MarkedCaller<'a>,
+    pub caller: CallerIdentity<'a>,
     /// The method.
     pub method: &'a str,
     /// The host asked for.
@@ -37,14 +37,14 @@
 /// Stands for a request, whichever try it is and at whichever node. Neither its caller nor its body can be
 /// found from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RequestMark([u8; LENGTH]);
+pub struct RequestFingerprint([u8; LENGTH]);
 
-impl RequestMark {
+impl RequestFingerprint {
     /// The mark of a request.
-    pub fn of(request: &MarkedRequest<'_>) -> Self {
+    pub fn of(request: &FingerprintInput<'_>) -> Self {
         let caller = match request.caller {
-            MarkedCaller::Organisation(name) => name,
-            MarkedCaller::Unknown => "",
+            CallerIdentity::Organisation(name) => name,
+            CallerIdentity::Unknown => "",
         };
         let parts = [
             caller.as_bytes(),
@@ -66,7 +66,7 @@
     }
 
     /// Names the duties of nodes that concern this request.
-    pub fn duty(self) -> u64 {
+    pub fn routing_key(self) -> u64 {
         let (first, _) = self.0.split_at(size_of::<u64>());
         first.iter().fold(0, |duty, byte| duty << 8 | u64::from(*byte))
     }
@@ -77,13 +77,13 @@
     }
 }
 
-impl fmt::Display for RequestMark {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         hex::write(&self.0, out)
     }
 }
 
-impl fmt::Debug for RequestMark {
+impl fmt::Debug for RequestFingerprint {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, out)
     }
--- a/crates/portrack/src/gateway/quarantine/message.rs
+++ b/crates/portrack/src/gateway/quarantine/message.rs
@@ -1,7 +1,7 @@
 //! What nodes tell each other of requests that servers ended under.
 
-use super::mark::RequestMark;
-use super::suspects::HeldRequest;
+use super::fingerprint::RequestFingerprint;
+use super::suspect_requests::HeldRequest;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
     /// Requests are held back.
     Held(Vec<HoldReport>),
     /// Servers ran requests and live.
-    Served(Vec<RequestMark>),
+    Served(Vec<RequestFingerprint>),
 }
 
 /// The end of a server under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// The server's life, by its mark.
     pub life: u32,
     /// How long ago it ended, in milliseconds.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldReport {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// How many times it has been held back.
     pub number: u32,
     /// For how much longer, in milliseconds.
--- a/crates/portrack/src/gateway/quarantine/record.rs
+++ b/crates/portrack/src/gateway/quarantine/record.rs
@@ -1,6 +1,6 @@
 //! What the store holds of a request that is held back, so that it outlasts all nodes.
 
-use super::mark::RequestMark;
+use super::fingerprint::RequestFingerprint;
 use serde::{Deserialize, Serialize};
 
 /// Before each request's mark.
@@ -15,13 +15,13 @@
 
 impl HoldRecord {
     /// The key of a request's record.
-    pub fn key(mark: RequestMark) -> String {
+    pub fn key(mark: RequestFingerprint) -> String {
         format!("{PREFIX}{mark}")
     }
 
     /// The request of a key; `None` for a key of something else.
-    pub fn request(key: &str) -> Option<RequestMark> {
-        RequestMark::parse(key.strip_prefix(PREFIX)?)
+    pub fn request(key: &str) -> Option<RequestFingerprint> {
+        RequestFingerprint::parse(key.strip_prefix(PREFIX)?)
     }
 
     /// The record as the store holds it.
--- a/crates/portrack/src/gateway/quarantine/recording.rs
+++ b/crates/portrack/src/gateway/quarantine/recording.rs
@@ -1,9 +1,9 @@
 //! Keeps the store's records of requests that are held back.
 
-use super::keeper::Quarantine;
-use super::mark::RequestMark;
+use super::coordinator::Quarantine;
+use super::fingerprint::RequestFingerprint;
 use super::record::HoldRecord;
-use super::suspects::{SendVerdict, Trial, Unrecorded};
+use super::suspect_requests::{SendVerdict, Trial, Unrecorded};
 use crate::gateway::news::kept::KeptItem;
 use crate::gateway::news::mirror::{MirrorItem, Mirrored};
 use crate::store::KvPut;
@@ -62,7 +62,7 @@
 
     /// Writes what the store does not have yet, and removes what is over. What the store does not take is
     /// tried again at the next call.
-    pub async fn keep_records(&self) {
+    pub async fn sync_records(&self) {
         let now = self.parts.clock.now();
         self.state.borrow_mut().sweep(now);
         let to_record = self.state.borrow().to_record(&self.parts.daemons.borrow());
@@ -80,18 +80,23 @@
         }
     }
 
-    fn was_recorded(&self, mark: RequestMark, number: u32, revision: u64) {
+    fn was_recorded(&self, mark: RequestFingerprint, number: u32, revision: u64) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         // It may have been served meanwhile.
         match state.verdict(now, mark) {
-            SendVerdict::Free => self.released.borrow_mut().push((mark, revision)),
+            SendVerdict::Allowed => self.released.borrow_mut().push((mark, revision)),
             _ => state.recorded(now, mark, number, revision),
         }
     }
 
     /// Writes a record if it was last changed at `before`; the new revision if the store took it.
-    async fn write(&self, mark: RequestMark, before: u64, record: HoldRecord) -> Option<u64> {
+    async fn write(
+        &self,
+        mark: RequestFingerprint,
+        before: u64,
+        record: HoldRecord,
+    ) -> Option<u64> {
         let key = HoldRecord::key(mark);
         let put = KvPut { key: key.clone(), value: record.bytes() };
         let written = self.parts.store.swap(&key, before, vec![put]).await;
@@ -103,7 +108,7 @@
 
     /// Claims the next hold of a request whose hold is over, so that nobody else tries it meanwhile. True if
     /// this daemon may send it, once.
-    pub async fn claim_trial(&self, mark: RequestMark, trial: Trial) -> bool {
+    pub async fn claim_trial(&self, mark: RequestFingerprint, trial: Trial) -> bool {
         let writing = self.write(mark, trial.revision, HoldRecord { number: trial.next });
         let claimed = actix_rt::time::timeout(CLAIM_WITHIN, writing).await;
         let Ok(Some(revision)) = claimed else { return false };
@@ -111,7 +116,7 @@
         self.state.borrow_mut().claimed(now, mark, trial.next, revision);
         self.parts.metrics.trials.inc();
         log::info!(mark:% = mark, number = trial.next; "request_on_trial");
-        self.pass_time();
+        self.tick();
         true
     }
 }
--- a/crates/portrack/src/gateway/quarantine/state.rs
+++ b/crates/portrack/src/gateway/quarantine/state.rs
@@ -1,9 +1,9 @@
 //! What one node knows of requests that servers ended under, and tells the others. Without sockets.
 
-use super::mark::RequestMark;
+use super::fingerprint::RequestFingerprint;
 use super::message::{EndReport, HoldReport, ITEMS, QuarantineMessage};
-use super::suspects::{
-    Cleared, Counted, HeldRequest, SendVerdict, ServerEnd, Suspects, Unrecorded,
+use super::suspect_requests::{
+    Cleared, CountOutcome, HeldRequest, SendVerdict, ServerEnd, SuspectRequests, Unrecorded,
 };
 use super::telling::{Telling, Told, messages};
 use crate::gateway::fleet::audience::{Audience, passes_on, records};
@@ -15,7 +15,7 @@
 
 /// Whom a change was learned from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LearnedFrom {
+pub enum ChangeSource {
     /// Requests of this node.
     Requests,
     /// Another node.
@@ -24,7 +24,7 @@
     Store,
 }
 
-impl LearnedFrom {
+impl ChangeSource {
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -39,16 +39,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineChange {
     /// A request is held back from now on.
-    Held(HeldRequest, LearnedFrom),
+    Held(HeldRequest, ChangeSource),
     /// It is not, and nothing is counted under it any more.
-    Cleared(RequestMark, Cleared, LearnedFrom),
+    Cleared(RequestFingerprint, Cleared, ChangeSource),
 }
 
 /// What one node knows.
 #[derive(Debug)]
 pub struct QuarantineState {
     me: DaemonAt,
-    suspects: Suspects,
+    suspects: SuspectRequests,
     telling: Telling,
     changes: Vec<QuarantineChange>,
 }
@@ -56,16 +56,21 @@
 impl QuarantineState {
     /// Knows of no request yet.
     pub fn new(me: DaemonAt) -> Self {
-        Self { me, suspects: Suspects::default(), telling: Telling::default(), changes: Vec::new() }
+        Self {
+            me,
+            suspects: SuspectRequests::default(),
+            telling: Telling::default(),
+            changes: Vec::new(),
+        }
     }
 
     /// The requests that servers ended under.
-    pub fn suspects(&self) -> &Suspects {
+    pub fn suspects(&self) -> &SuspectRequests {
         &self.suspects
     }
 
     /// Whether a request may be sent.
-    pub fn verdict(&self, now: Time, mark: RequestMark) -> SendVerdict {
+    pub fn verdict(&self, now: Time, mark: RequestFingerprint) -> SendVerdict {
         self.suspects.verdict(now, mark)
     }
 
@@ -76,9 +81,9 @@
 
     /// A server ended under a request of this node. Returns the ends counted under it; `None` if this one
     /// was known.
-    pub fn ended(&mut self, now: Time, mark: RequestMark, end: ServerEnd) -> Option<usize> {
+    pub fn ended(&mut self, now: Time, mark: RequestFingerprint, end: ServerEnd) -> Option<usize> {
         let counted = self.suspects.count(now, mark, end);
-        if counted == Counted::Known {
+        if counted == CountOutcome::Known {
             return None;
         }
         self.telling.add(now, Audience::Sharers, Told::Ended(mark, end));
@@ -86,30 +91,30 @@
         Some(self.suspects.ends(mark))
     }
 
-    fn conclude(&mut self, now: Time, mark: RequestMark, counted: Counted) {
+    fn conclude(&mut self, now: Time, mark: RequestFingerprint, counted: CountOutcome) {
         match counted {
-            Counted::Known | Counted::Ends(0 | 1) => {}
+            CountOutcome::Known | CountOutcome::Ends(0 | 1) => {}
             // Whoever serves it must know that this clears it.
-            Counted::Ends(_) => {
+            CountOutcome::Ends(_) => {
                 for end in self.suspects.ends_of(mark) {
                     self.telling.add(now, Audience::All, Told::Ended(mark, *end));
                 }
             }
-            Counted::Held => self.tell_held(now, mark),
+            CountOutcome::Held => self.tell_held(now, mark),
         }
     }
 
-    fn tell_held(&mut self, now: Time, mark: RequestMark) {
+    fn tell_held(&mut self, now: Time, mark: RequestFingerprint) {
         let Some(held) = self.suspects.held_request(now, mark) else { return };
         self.telling.add(now, Audience::All, Told::Held(held, now));
-        self.changes.push(QuarantineChange::Held(held, LearnedFrom::Requests));
+        self.changes.push(QuarantineChange::Held(held, ChangeSource::Requests));
     }
 
     /// A server ran a request of this node to its end and lives. Returns the store's revision of its hold.
-    pub fn served(&mut self, now: Time, mark: RequestMark) -> Option<u64> {
+    pub fn served(&mut self, now: Time, mark: RequestFingerprint) -> Option<u64> {
         let cleared = self.suspects.clear(mark)?;
         self.telling.add(now, Audience::All, Told::Served(mark));
-        self.changes.push(QuarantineChange::Cleared(mark, cleared, LearnedFrom::Requests));
+        self.changes.push(QuarantineChange::Cleared(mark, cleared, ChangeSource::Requests));
         cleared.revision
     }
 
@@ -132,7 +137,8 @@
         let at = now - Duration::from_millis(report.age_ms.into());
         let end = ServerEnd { life: report.life, at };
         let counted = self.suspects.count(now, report.mark, end);
-        if counted == Counted::Held || passes_on(daemons, &self.me, report.mark.duty()) {
+        if counted == CountOutcome::Held || passes_on(daemons, &self.me, report.mark.routing_key())
+        {
             self.conclude(now, report.mark, counted);
         }
     }
@@ -142,26 +148,26 @@
         if !self.suspects.hear(now, held) {
             return;
         }
-        if passes_on(daemons, &self.me, report.mark.duty()) {
+        if passes_on(daemons, &self.me, report.mark.routing_key()) {
             self.telling.add(now, Audience::All, Told::Held(held, now));
         }
-        self.changes.push(QuarantineChange::Held(held, LearnedFrom::Peer));
+        self.changes.push(QuarantineChange::Held(held, ChangeSource::Peer));
     }
 
-    fn hear_served(&mut self, now: Time, mark: RequestMark, daemons: &Daemons) {
+    fn hear_served(&mut self, now: Time, mark: RequestFingerprint, daemons: &Daemons) {
         self.telling.forget(mark);
         let Some(cleared) = self.suspects.clear(mark) else { return };
-        if passes_on(daemons, &self.me, mark.duty()) {
+        if passes_on(daemons, &self.me, mark.routing_key()) {
             self.telling.add(now, Audience::All, Told::Served(mark));
         }
-        self.changes.push(QuarantineChange::Cleared(mark, cleared, LearnedFrom::Peer));
+        self.changes.push(QuarantineChange::Cleared(mark, cleared, ChangeSource::Peer));
     }
 
     /// What is to be told now, and where.
     pub fn due(&mut self, now: Time, daemons: &Daemons) -> Vec<(SocketAddr, QuarantineMessage)> {
         let mut by_address: BTreeMap<SocketAddr, Vec<Told>> = BTreeMap::new();
         for (audience, told) in self.telling.due(now) {
-            for to in audience.addresses(daemons, &self.me, told.mark().duty()) {
+            for to in audience.addresses(daemons, &self.me, told.mark().routing_key()) {
                 by_address.entry(to).or_default().push(told);
             }
         }
@@ -178,25 +184,25 @@
     }
 
     /// The store has a hold.
-    pub fn recorded(&mut self, now: Time, mark: RequestMark, number: u32, revision: u64) {
+    pub fn recorded(&mut self, now: Time, mark: RequestFingerprint, number: u32, revision: u64) {
         if !self.suspects.recorded(now, mark, number, revision) {
             return;
         }
         if let Some(held) = self.suspects.held_request(now, mark) {
-            self.changes.push(QuarantineChange::Held(held, LearnedFrom::Store));
+            self.changes.push(QuarantineChange::Held(held, ChangeSource::Store));
         }
     }
 
     /// The store has a hold no more: operators let the request go, or it was served.
-    pub fn record_gone(&mut self, mark: RequestMark) {
+    pub fn record_gone(&mut self, mark: RequestFingerprint) {
         if let Some(cleared) = self.suspects.record_gone(mark) {
             self.telling.forget(mark);
-            self.changes.push(QuarantineChange::Cleared(mark, cleared, LearnedFrom::Store));
+            self.changes.push(QuarantineChange::Cleared(mark, cleared, ChangeSource::Store));
         }
     }
 
     /// This node has claimed a hold of which it tries the request once.
-    pub fn claimed(&mut self, now: Time, mark: RequestMark, number: u32, revision: u64) {
+    pub fn claimed(&mut self, now: Time, mark: RequestFingerprint, number: u32, revision: u64) {
         self.suspects.recorded(now, mark, number, revision);
         self.tell_held(now, mark);
     }
@@ -214,12 +220,12 @@
     }
 
     /// True if this node writes and removes the store's record of a request.
-    pub fn keeps_record(&self, mark: RequestMark, daemons: &Daemons) -> bool {
-        records(daemons, &self.me, mark.duty())
+    pub fn keeps_record(&self, mark: RequestFingerprint, daemons: &Daemons) -> bool {
+        records(daemons, &self.me, mark.routing_key())
     }
 
     /// Holds that this node has to remove from the store, with their revisions.
-    pub fn to_remove(&self, now: Time, daemons: &Daemons) -> Vec<(RequestMark, u64)> {
+    pub fn to_remove(&self, now: Time, daemons: &Daemons) -> Vec<(RequestFingerprint, u64)> {
         let mut all = self.suspects.outlived(now);
         all.retain(|(mark, _)| self.keeps_record(*mark, daemons));
         all
--- a/crates/portrack/src/gateway/quarantine/suspects.rs
+++ b/crates/portrack/src/gateway/quarantine/suspect_requests.rs
@@ -1,6 +1,6 @@
 //! Which requests servers ended under, and which of them are held back. A state machine without sockets.
 
-use super::mark::RequestMark;
+use super::fingerprint::RequestFingerprint;
 use crate::types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 
 /// What the end of a server under a request came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Counted {
+pub enum CountOutcome {
     /// It was known already, or the request is held back anyway.
     Known,
     /// So many ends have been counted.
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendVerdict {
     /// It may.
-    Free,
+    Allowed,
     /// It may not for so long.
     Held(Duration),
     /// Its hold is over: one node may try it once, if the store takes its claim of the next hold.
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldRequest {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// How many times it has been held back, this one included.
     pub number: u32,
     /// For how much longer.
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unrecorded {
     /// The request.
-    pub mark: RequestMark,
+    pub mark: RequestFingerprint,
     /// How many times it has been held back, this one included.
     pub number: u32,
     /// The revision of what the store has in its place, 0 for nothing.
@@ -134,19 +134,19 @@
 
 /// The requests under which servers ended.
 #[derive(Debug, Clone, Default)]
-pub struct Suspects {
-    suspects: HashMap<RequestMark, Vec<ServerEnd>>,
-    held: HashMap<RequestMark, Hold>,
+pub struct SuspectRequests {
+    suspects: HashMap<RequestFingerprint, Vec<ServerEnd>>,
+    held: HashMap<RequestFingerprint, Hold>,
 }
 
-impl Suspects {
+impl SuspectRequests {
     /// True if no server ended under any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.held.is_empty()
     }
 
     /// True if no request is held back.
-    pub fn holds_none(&self) -> bool {
+    pub fn has_no_holds(&self) -> bool {
         self.held.is_empty()
     }
 
@@ -156,14 +156,14 @@
     }
 
     /// How many ends of servers are counted under a request that is not held back.
-    pub fn ends(&self, mark: RequestMark) -> usize {
+    pub fn ends(&self, mark: RequestFingerprint) -> usize {
         self.suspects.get(&mark).map_or(0, |ends| events(ends))
     }
 
     /// Counts the end of a server under a request.
-    pub fn count(&mut self, now: Time, mark: RequestMark, end: ServerEnd) -> Counted {
+    pub fn count(&mut self, now: Time, mark: RequestFingerprint, end: ServerEnd) -> CountOutcome {
         if self.held.contains_key(&mark) || now.since(end.at) >= END_COUNTS_FOR {
-            return Counted::Known;
+            return CountOutcome::Known;
         }
         if !self.suspects.contains_key(&mark) && self.suspects.len() >= MOST_SUSPECTS {
             self.drop_least();
@@ -175,11 +175,11 @@
         let counted = events(ends);
         if counted >= MOST_ENDS {
             self.hold(mark, Hold::new(now, 1, None));
-            return Counted::Held;
+            return CountOutcome::Held;
         }
         match ends.len() > known || counted > before {
-            true => Counted::Ends(counted),
-            false => Counted::Known,
+            true => CountOutcome::Ends(counted),
+            false => CountOutcome::Known,
         }
     }
 
@@ -191,7 +191,7 @@
         }
     }
 
-    fn hold(&mut self, mark: RequestMark, hold: Hold) {
+    fn hold(&mut self, mark: RequestFingerprint, hold: Hold) {
         self.suspects.remove(&mark);
         if !self.held.contains_key(&mark) && self.held.len() >= MOST_HELD {
             let first = self.held.iter().min_by_key(|(_, hold)| hold.until);
@@ -217,7 +217,13 @@
 
     /// Takes in that the store has a hold; false if that is no news. Its time is counted from the first
     /// that this node hears of it, since clocks differ.
-    pub fn recorded(&mut self, now: Time, mark: RequestMark, number: u32, revision: u64) -> bool {
+    pub fn recorded(
+        &mut self,
+        now: Time,
+        mark: RequestFingerprint,
+        number: u32,
+        revision: u64,
+    ) -> bool {
         let known = self.held.get(&mark).copied();
         match known {
             Some(hold) if hold.revision.is_some_and(|known| known >= revision) => return false,
@@ -242,14 +248,14 @@
     }
 
     /// Takes in that the store has a hold no more.
-    pub fn record_gone(&mut self, mark: RequestMark) -> Option<Cleared> {
+    pub fn record_gone(&mut self, mark: RequestFingerprint) -> Option<Cleared> {
         // One that the store never had is not let go by this.
         self.held.get(&mark)?.revision?;
         self.clear(mark)
     }
 
     /// Takes in that a server has run a request and lives: it does not crash servers.
-    pub fn clear(&mut self, mark: RequestMark) -> Option<Cleared> {
+    pub fn clear(&mut self, mark: RequestFingerprint) -> Option<Cleared> {
         let ends = self.suspects.remove(&mark).map_or(0, |ends| events(&ends));
         let hold = self.held.remove(&mark);
         (ends > 0 || hold.is_some()).then(|| Cleared {
@@ -260,8 +266,8 @@
     }
 
     /// Whether a request may be sent.
-    pub fn verdict(&self, now: Time, mark: RequestMark) -> SendVerdict {
-        let Some(hold) = self.held.get(&mark) else { return SendVerdict::Free };
+    pub fn verdict(&self, now: Time, mark: RequestFingerprint) -> SendVerdict {
+        let Some(hold) = self.held.get(&mark) else { return SendVerdict::Allowed };
         match hold.revision {
             _ if now < hold.until => SendVerdict::Held(hold.until.since(now)),
             Some(revision) => SendVerdict::OnTrial(Trial { revision, next: hold.number + 1 }),
@@ -273,7 +279,7 @@
     /// Holds that the store does not have yet.
     pub fn unrecorded(&self) -> Vec<Unrecorded> {
         let all = self.held.iter().filter(|(_, hold)| hold.revision.is_none());
-        let unrecorded = |(mark, hold): (&RequestMark, &Hold)| Unrecorded {
+        let unrecorded = |(mark, hold): (&RequestFingerprint, &Hold)| Unrecorded {
             mark: *mark,
             number: hold.number,
             replaces: hold.replaces,
@@ -282,7 +288,7 @@
     }
 
     /// Holds that ended so long ago that they are to be forgotten, with the store's revisions.
-    pub fn outlived(&self, now: Time) -> Vec<(RequestMark, u64)> {
+    pub fn outlived(&self, now: Time) -> Vec<(RequestFingerprint, u64)> {
         let over = |hold: &Hold| now >= hold.until + FORGOTTEN_AFTER;
         let all = self.held.iter().filter(|(_, hold)| over(hold));
         all.filter_map(|(mark, hold)| Some((*mark, hold.revision?))).collect()
@@ -302,18 +308,18 @@
     }
 
     /// The same of one request; `None` if it is not held back or its hold is over.
-    pub fn held_request(&self, now: Time, mark: RequestMark) -> Option<HeldRequest> {
+    pub fn held_request(&self, now: Time, mark: RequestFingerprint) -> Option<HeldRequest> {
         let hold = self.held.get(&mark).filter(|hold| now < hold.until)?;
         Some(HeldRequest { mark, number: hold.number, left: hold.until.since(now) })
     }
 
     /// All ends that count, each with its request.
-    pub fn all_ends(&self) -> impl Iterator<Item = (RequestMark, ServerEnd)> {
+    pub fn all_ends(&self) -> impl Iterator<Item = (RequestFingerprint, ServerEnd)> {
         self.suspects.iter().flat_map(|(mark, ends)| ends.iter().map(|end| (*mark, *end)))
     }
 
     /// The ends that count under one request.
-    pub fn ends_of(&self, mark: RequestMark) -> &[ServerEnd] {
+    pub fn ends_of(&self, mark: RequestFingerprint) -> &[ServerEnd] {
         self.suspects.get(&mark).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/portrack/src/gateway/quarantine/telling.rs
+++ b/crates/portrack/src/gateway/quarantine/telling.rs
@@ -1,8 +1,8 @@
 //! What is to be told to which nodes, more than once: datagrams are lost.
 
-use super::mark::RequestMark;
+use super::fingerprint::RequestFingerprint;
 use super::message::{EndReport, HoldReport, ITEMS, QuarantineMessage};
-use super::suspects::{HeldRequest, ServerEnd};
+use super::suspect_requests::{HeldRequest, ServerEnd};
 use crate::gateway::fleet::audience::Audience;
 use crate::types::Time;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
     /// A server ended under a request.
-    Ended(RequestMark, ServerEnd),
+    Ended(RequestFingerprint, ServerEnd),
     /// A request is held back.
     Held(HeldRequest, Time),
     /// A request was served.
-    Served(RequestMark),
+    Served(RequestFingerprint),
 }
 
 impl Told {
     /// The request.
-    pub fn mark(&self) -> RequestMark {
+    pub fn mark(&self) -> RequestFingerprint {
         match self {
             Self::Ended(mark, _) | Self::Served(mark) => *mark,
             Self::Held(held, _) => held.mark,
@@ -56,7 +56,7 @@
     }
 
     /// Has nothing more told of a request.
-    pub fn forget(&mut self, mark: RequestMark) {
+    pub fn forget(&mut self, mark: RequestFingerprint) {
         self.0.retain(|pending| pending.told.mark() != mark);
     }
 
@@ -94,7 +94,7 @@
     ended.chain(held).chain(served).collect()
 }
 
-fn end_report(now: Time, mark: RequestMark, end: ServerEnd) -> EndReport {
+fn end_report(now: Time, mark: RequestFingerprint, end: ServerEnd) -> EndReport {
     let age_ms = u32::try_from(now.since(end.at).as_millis()).unwrap_or(u32::MAX);
     EndReport { mark, life: end.life, age_ms }
 }
--- a/crates/portrack/src/gateway/regions/allowed.rs
+++ b/crates/portrack/src/gateway/regions/allowed.rs
@@ -4,16 +4,16 @@
 
 /// What binds one request: its route's regions and its organisation's, both where both name some.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RegionBounds<'a> {
+pub struct RegionConstraints<'a> {
     /// The regions that its route allows; any if left out.
     pub route: Option<&'a AllowedRegions>,
     /// The regions that its organisation allows; any if left out.
     pub organisation: Option<&'a AllowedRegions>,
 }
 
-impl RegionBounds<'_> {
+impl RegionConstraints<'_> {
     /// True if not every region will do.
-    pub fn is_bound(&self) -> bool {
+    pub fn is_constrained(&self) -> bool {
         self.route.is_some() || self.organisation.is_some()
     }
 
--- a/crates/portrack/src/gateway/regions/place.rs
+++ b/crates/portrack/src/gateway/regions/locality.rs
@@ -16,12 +16,12 @@
 
 /// A daemon's data hall, with the regions around it.
 #[derive(Debug, Clone, Default)]
-pub struct Place {
+pub struct Locality {
     hall: Rc<str>,
     regions: Regions,
 }
 
-impl Place {
+impl Locality {
     /// A daemon in this hall; `regions` are seen from there.
     pub fn new(hall: &str, regions: Regions) -> Self {
         Self { hall: hall.into(), regions }
@@ -33,16 +33,16 @@
     }
 
     /// True for a hall in another region; never where there is only one.
-    pub fn is_far(&self, hall: &str) -> bool {
+    pub fn is_remote(&self, hall: &str) -> bool {
         self.regions.are_many() && !self.regions.is_own(hall)
     }
 
     /// What the way to a server in a hall costs a request, in requests waiting there.
-    pub fn way(&self, hall: &str) -> f64 {
+    pub fn network_cost(&self, hall: &str) -> f64 {
         if *self.hall == *hall {
             return 0.0;
         }
-        if !self.is_far(hall) {
+        if !self.is_remote(hall) {
             return OTHER_HALL;
         }
         let time = REGION_ROUND_TRIP.as_secs_f64() / REQUEST_WAITING.as_secs_f64();
--- a/crates/portrack/src/gateway/regions/mod.rs
+++ b/crates/portrack/src/gateway/regions/mod.rs
@@ -6,6 +6,6 @@
 //! changes a decision. A server outside the allowed regions of a request must never be let through.
 
 pub(in crate::gateway) mod allowed;
-pub(in crate::gateway) mod place;
+pub(in crate::gateway) mod locality;
 pub(in crate::gateway) mod silence;
 pub(in crate::gateway) mod traffic;
--- a/crates/portrack/src/gateway/regions/silence.rs
+++ b/crates/portrack/src/gateway/regions/silence.rs
@@ -12,7 +12,7 @@
 }
 
 /// Logs each region that has fallen silent, and each that is heard again.
-pub fn log_change(regions: &Regions, before: &[Rc<str>], now: &[Rc<str>]) {
+pub fn log_silence_changes(regions: &Regions, before: &[Rc<str>], now: &[Rc<str>]) {
     let (before, now) = (silent_regions(regions, before), silent_regions(regions, now));
     for region in now.iter().filter(|region| !before.contains(region)) {
         log::warn!(region = &**region, halls = regions.halls(region).count(); "region_silent");
--- a/crates/portrack/src/gateway/requests/held.rs
+++ b/crates/portrack/src/gateway/requests/held.rs
@@ -5,7 +5,7 @@
 use super::path::RequestPath;
 use crate::gateway::connections::connection::ExchangeError;
 use crate::gateway::fleet::backend::Backend;
-use crate::gateway::quarantine::suspects::SendVerdict;
+use crate::gateway::quarantine::suspect_requests::SendVerdict;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
 impl RequestPath {
     /// Lets a request in unless it is held back. One whose hold is over is tried once, by one node.
     pub(super) async fn admit(&self, job: &mut Job<'_>) -> Result<(), Refused> {
-        if self.quarantine.holds_none() {
+        if self.quarantine.has_no_holds() {
             return Ok(());
         }
         let mark = job.mark();
         match self.quarantine.verdict(mark) {
-            SendVerdict::Free => return Ok(()),
+            SendVerdict::Allowed => return Ok(()),
             SendVerdict::Held(left) => {
                 job.progress.mark.set(Some(mark));
                 return Err(held_back(left));
@@ -36,11 +36,11 @@
     /// For how long a request must not be sent, as known right now.
     pub(super) fn held_for(&self, job: &Job<'_>) -> Option<Duration> {
         let first_of_trial = job.on_trial && !job.may_have_run();
-        if first_of_trial || self.quarantine.holds_none() {
+        if first_of_trial || self.quarantine.has_no_holds() {
             return None;
         }
         match self.quarantine.verdict(job.mark()) {
-            SendVerdict::Free => None,
+            SendVerdict::Allowed => None,
             SendVerdict::Held(left) => Some(left),
             SendVerdict::OnTrial(_) => Some(TRIAL_RETRY),
         }
@@ -49,11 +49,11 @@
     /// Waits until a request is held back: one that waits for a server or an adapter is refused at once.
     pub(super) async fn until_held(&self, job: &Job<'_>) -> Duration {
         loop {
-            let held_more = self.quarantine.held_more();
+            let hold_added = self.quarantine.hold_added();
             if let Some(left) = self.held_for(job) {
                 return left;
             }
-            held_more.await;
+            hold_added.await;
         }
     }
 
--- a/crates/portrack/src/gateway/requests/job.rs
+++ b/crates/portrack/src/gateway/requests/job.rs
@@ -9,8 +9,10 @@
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::config::{Route, Service};
 use crate::gateway::fleet::versions::VersionChoice;
-use crate::gateway::quarantine::mark::{MarkedCaller, MarkedRequest, RequestMark};
-use crate::gateway::regions::allowed::RegionBounds;
+use crate::gateway::quarantine::fingerprint::{
+    CallerIdentity, FingerprintInput, RequestFingerprint,
+};
+use crate::gateway::regions::allowed::RegionConstraints;
 use crate::types::Time;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
@@ -37,7 +39,7 @@
     /// What it waited for at granters.
     pub grant: GrantNote,
     /// What its tries have in common, once a server has broken off or it is held back.
-    pub mark: Cell<Option<RequestMark>>,
+    pub mark: Cell<Option<RequestFingerprint>>,
 }
 
 /// How a request ended, for logs and metrics.
@@ -86,7 +88,7 @@
     /// What was known of its adapter when it had to wait or was refused.
     pub adapter_note: RefCell<String>,
     /// What its tries have in common, once that was asked for.
-    pub mark: OnceCell<RequestMark>,
+    pub mark: OnceCell<RequestFingerprint>,
     /// It was held back, and this is its one try to see whether servers still end under it.
     pub on_trial: bool,
 }
@@ -141,9 +143,9 @@
     }
 
     /// The regions that it may be served in.
-    pub(in crate::gateway) fn region_bounds(&self) -> RegionBounds<'_> {
+    pub(in crate::gateway) fn region_bounds(&self) -> RegionConstraints<'_> {
         let organisation = self.admitted.organisation.as_ref();
-        RegionBounds {
+        RegionConstraints {
             route: self.route.allowed_regions.as_ref(),
             organisation: organisation.and_then(|all| all.allowed_regions.as_ref()),
         }
@@ -162,17 +164,17 @@
     }
 
     /// What its tries have in common.
-    pub fn mark(&self) -> RequestMark {
+    pub fn mark(&self) -> RequestFingerprint {
         *self.mark.get_or_init(|| self.marked())
     }
 
-    fn marked(&self) -> RequestMark {
+    fn marked(&self) -> RequestFingerprint {
         let request = self.request;
         let caller = match &self.admitted.organisation {
-            Some(organisation) => MarkedCaller::Organisation(&organisation.name),
-            None => MarkedCaller::Unknown,
+            Some(organisation) => CallerIdentity::Organisation(&organisation.name),
+            None => CallerIdentity::Unknown,
         };
-        RequestMark::of(&MarkedRequest {
+        RequestFingerprint::of(&FingerprintInput {
             caller,
             method: request.method.as_str(),
             host: &request.host,
--- a/crates/portrack/src/gateway/requests/path.rs
+++ b/crates/portrack/src/gateway/requests/path.rs
@@ -21,8 +21,8 @@
 use crate::gateway::fleet::config::Service;
 use crate::gateway::fleet::daemons::Daemons;
 use crate::gateway::fleet::view::FleetView;
-use crate::gateway::quarantine::keeper::Quarantine;
-use crate::gateway::regions::place::Place;
+use crate::gateway::quarantine::coordinator::Quarantine;
+use crate::gateway::regions::locality::Locality;
 use crate::gateway::regions::traffic::RegionTraffic;
 use crate::types::{Clock, Time};
 use prometheus::IntCounter;
@@ -79,7 +79,7 @@
     /// True if some daemon, as far as known, may order this server.
     pub is_ordered: Box<dyn Fn(&str) -> bool>,
     /// Where this daemon is.
-    pub place: Rc<Place>,
+    pub locality: Rc<Locality>,
     /// What goes to other regions.
     pub traffic: Rc<RegionTraffic>,
     /// Daemons that share the servers' connections and the retry budget.
@@ -262,7 +262,7 @@
         job.progress.timings.sent(now);
         job.charge.may_run();
         choice.sent(now);
-        self.traffic.with_server("requests", &backend.hall, bytes.len());
+        self.traffic.count_server_bytes("requests", &backend.hall, bytes.len());
         let id = &job.request.meta.id;
         let may_send = || self.may_send_now(job, choice);
         let heard = |head: &AnswerHead| {
@@ -310,7 +310,7 @@
                 if let Some(apart) = timings.event_apart() {
                     self.grants.note_event(&job.service.name, apart);
                 }
-                self.traffic.with_server("answers", &backend.hall, relay.take_received());
+                self.traffic.count_server_bytes("answers", &backend.hall, relay.take_received());
                 drop(guard);
                 if matches!(
                     end,
--- a/crates/portrack/src/gateway/run.rs
+++ b/crates/portrack/src/gateway/run.rs
@@ -78,7 +78,7 @@
     let daemon = GatewayDaemon::new(settings, clock, dialect, store, socket, Incarnation::now());
     let daemon = Rc::new(daemon);
     let hearing = Rc::downgrade(&daemon);
-    daemon.ordering.hear_answers(Box::new(move |server, head| {
+    daemon.order_executor.set_response_hook(Box::new(move |server, head| {
         if let Some(daemon) = hearing.upgrade() {
             daemon.on_call_answered(server, head);
         }
@@ -99,7 +99,7 @@
     actix_rt::spawn(daemon.clone().claim_servers());
     actix_rt::spawn(daemon.clone().renew_lease());
     actix_rt::spawn(daemon.clone().plan_steps());
-    actix_rt::spawn(daemon.clone().see_to_evacuated());
+    actix_rt::spawn(daemon.clone().run_evacuations());
     actix_rt::spawn(daemon.clone().see_to_leaving());
     actix_rt::spawn(daemon.clone().sweep());
     actix_rt::spawn(daemon.clone().accept_callers(callers));
@@ -159,8 +159,8 @@
             actix_rt::time::sleep(SWEEP).await;
             let now: Time = self.now();
             self.path.pool.sweep();
-            self.ordering.sweep();
-            self.ordering.planner.borrow_mut().sweep(now);
+            self.order_executor.sweep();
+            self.order_executor.planner.borrow_mut().sweep(now);
             self.path.view.borrow_mut().holdings.forget_old(now);
             self.forget_limits();
             self.metrics.in_flight.set(self.in_flight.get() as i64);
--- a/crates/portrack/tests/gateway/cold.rs
+++ b/crates/portrack/tests/gateway/cold.rs
@@ -5,7 +5,9 @@
 
 use crate::support::{backend, ms};
 use portrack::Time;
-use portrack::gateway::{Backend, ColdServer, LoadTable, Place, Regions, cheaper_of_two, cheapest};
+use portrack::gateway::{
+    Backend, ColdServer, LoadTable, Locality, Regions, cheaper_of_two, cheapest,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -16,8 +18,8 @@
 }
 
 /// The hall of the servers; all are of one region.
-fn place() -> Place {
-    Place::new("a", Regions::default())
+fn locality() -> Locality {
+    Locality::new("a", Regions::default())
 }
 
 fn table(cold: &[&str]) -> Rc<LoadTable> {
@@ -44,7 +46,7 @@
     let mut running = Vec::new();
     let mut at_cold = 0;
     for _ in 0..28 {
-        let one = cheapest(Time(0), &loads, &place(), &[], all.iter()).expect("a server");
+        let one = cheapest(Time(0), &loads, &locality(), &[], all.iter()).expect("a server");
         at_cold += usize::from(&*one.id == "s1");
         running.push(loads.begin(Time(0), &one.id, 0));
     }
@@ -60,7 +62,7 @@
     for n in 0..300 {
         let id = format!("r{n}");
         let two =
-            cheaper_of_two(Time(0), &loads, &place(), &id, &[], all.iter()).expect("a server");
+            cheaper_of_two(Time(0), &loads, &locality(), &id, &[], all.iter()).expect("a server");
         *chosen.entry(two.id.to_string()).or_default() += 1;
     }
     assert!(chosen.len() >= 5, "{chosen:?}");
--- a/crates/portrack/tests/gateway/evacuation.rs
+++ b/crates/portrack/tests/gateway/evacuation.rs
@@ -8,7 +8,8 @@
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
 use portrack::gateway::{
-    EvacuatedHalls, Mirror, MirrorItem, Mirrored, Planner, ServerReport, StoreProof, WishAnswer,
+    EvacuatedHalls, LoadRequestAnswer, Mirror, MirrorItem, Mirrored, Planner, ServerReport,
+    StoreProof,
 };
 use portrack::store::StoreEra;
 use proptest::prelude::*;
@@ -98,7 +99,7 @@
                     }
                 }
                 Mirrored::Gone(hall) => {
-                    self.halls.take_back(&hall);
+                    self.halls.reinstate(&hall);
                 }
             }
         }
@@ -182,7 +183,7 @@
     assert!(!halls.is_closing(Time(21_500), &hall));
     assert_eq!(halls.newly_closed(Time(21_500)).len(), 1);
     assert_eq!(halls.newly_closed(Time(21_600)).len(), 0, "told once");
-    assert!(halls.take_back(&hall).is_some());
+    assert!(halls.reinstate(&hall).is_some());
     assert!(!halls.has(&hall));
 }
 
@@ -191,8 +192,8 @@
 fn nothing_is_loaded_at_a_server_of_an_evacuated_hall() {
     let id: Rc<str> = "s1".into();
     let mut planner = Planner::default();
-    planner.config(Time(0), config(4, 20.0));
-    planner.server(Time(0), &backend("s1", &[]));
+    planner.set_config(Time(0), config(4, 20.0));
+    planner.update_server(Time(0), &backend("s1", &[]));
     let report = ServerReport {
         born: None,
         orders_taken: 0,
@@ -202,17 +203,21 @@
         requests: 0,
     };
     planner.reported(Time(0), "s1", &report);
-    let wish = |planner: &mut Planner, at| planner.wish(Time(at), &id, &key("a1"), 1, 1);
-    assert!(matches!(wish(&mut planner, 10), WishAnswer::Coming(_)));
+    let wish = |planner: &mut Planner, at| planner.request_load(Time(at), &id, &key("a1"), 1, 1);
+    assert!(matches!(wish(&mut planner, 10), LoadRequestAnswer::Coming(_)));
     planner.set_evacuated("s1", true);
     assert!(
         planner.plan(Time(20), std::slice::from_ref(&id)).0.is_empty(),
         "not what was wished for before"
     );
-    assert_eq!(wish(&mut planner, 30), WishAnswer::Refused);
-    planner.server(Time(40), &backend("s1", &[]));
-    assert_eq!(wish(&mut planner, 50), WishAnswer::Refused, "its entry has changed meanwhile");
+    assert_eq!(wish(&mut planner, 30), LoadRequestAnswer::Refused);
+    planner.update_server(Time(40), &backend("s1", &[]));
+    assert_eq!(
+        wish(&mut planner, 50),
+        LoadRequestAnswer::Refused,
+        "its entry has changed meanwhile"
+    );
     planner.set_evacuated("s1", false);
-    assert!(matches!(wish(&mut planner, 60), WishAnswer::Coming(_)));
+    assert!(matches!(wish(&mut planner, 60), LoadRequestAnswer::Coming(_)));
     assert_eq!(planner.plan(Time(70), std::slice::from_ref(&id)).0.len(), 1);
 }
--- a/crates/portrack/tests/gateway/lives.rs
+++ b/crates/portrack/tests/gateway/lives.rs
@@ -3,8 +3,8 @@
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
 use portrack::gateway::{
-    Backend, EntryLife, GONE_REMEMBERED, Holdings, Lives, LoadTable, Plan, PlanEnd, PlannedLoad,
-    Planner, Presence, ServerLoad, ServerReport, WishAnswer, Work, life_mark,
+    Backend, EntryLife, GONE_REMEMBERED, Holdings, Lives, LoadRequestAnswer, LoadTable, Plan,
+    PlanOutcome, PlannedLoad, Planner, Presence, ServerLoad, ServerReport, Work, life_mark,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -116,10 +116,13 @@
 impl Reborn {
     fn new(late: Vec<LateOrder>, wishes: Vec<(u64, usize)>) -> Self {
         let mut planner = Planner::default();
-        planner.config(Time(0), config(PLACES, 3.0));
-        planner.server(Time(0), &life("s1", Some(1), 40, false));
-        planner.born_again(Time(0), &"s1".into());
-        planner.server(Time(0), &Backend { models: Vec::new(), ..life("s1", Some(2), 0, false) });
+        planner.set_config(Time(0), config(PLACES, 3.0));
+        planner.update_server(Time(0), &life("s1", Some(1), 40, false));
+        planner.server_restarted(Time(0), &"s1".into());
+        planner.update_server(
+            Time(0),
+            &Backend { models: Vec::new(), ..life("s1", Some(2), 0, false) },
+        );
         Self {
             late,
             wishes,
@@ -145,7 +148,7 @@
                 .map(|wish| wish.1)
                 .collect();
             for wish in due {
-                self.planner.wish(Time(now), &self.server, &key(NAMES[wish]), 1, 1);
+                self.planner.request_load(Time(now), &self.server, &key(NAMES[wish]), 1, 1);
             }
             self.order(now);
             most = most.max(self.held.len());
@@ -171,19 +174,19 @@
 
     fn order(&mut self, now: u64) {
         let ours = std::slice::from_ref(&self.server).to_vec();
-        if !self.planner.unsurveyed(&ours).is_empty() {
+        if !self.planner.needing_survey(&ours).is_empty() {
             self.believed = Some(self.count);
             self.planner.reported(Time(now), "s1", &self.report());
         }
         for plan in self.planner.plan(Time(now), &ours).0 {
             let end = self.carry_out(&plan);
             self.planner.ended(Time(now), &plan, end, Some(ms(20)));
-            if end == PlanEnd::Busy {
-                self.planner.unsure("s1");
+            if end == PlanOutcome::Busy {
+                self.planner.invalidate_survey("s1");
             }
             if self.based {
                 let entry = life("s1", Some(2), self.count, false);
-                self.planner.server(Time(now), &entry);
+                self.planner.update_server(Time(now), &entry);
             }
             self.arrive(now);
         }
@@ -199,16 +202,16 @@
         }
     }
 
-    fn carry_out(&mut self, plan: &Plan) -> PlanEnd {
+    fn carry_out(&mut self, plan: &Plan) -> PlanOutcome {
         if let Some(victim) = &plan.evict {
             if !self.takes() {
-                return PlanEnd::Busy;
+                return PlanOutcome::Busy;
             }
             self.held.remove(&*victim.adapter);
             self.planner.evicted("s1", victim);
         }
         if !self.takes() {
-            return PlanEnd::Busy;
+            return PlanOutcome::Busy;
         }
         match &plan.load {
             PlannedLoad::Base(_) => self.based = true,
@@ -217,7 +220,7 @@
                 self.held.insert(name.expect("one of them"));
             }
         }
-        PlanEnd::Done
+        PlanOutcome::Done
     }
 
     /// Takes one order if its sender knows how many were taken.
@@ -342,8 +345,8 @@
 /// A planner before a server in its first life that holds `held`, surveyed.
 fn planner(held: &[(&str, u64)]) -> (Planner, Rc<str>) {
     let mut planner = Planner::default();
-    planner.config(Time(0), config(4, 3.0));
-    planner.server(Time(0), &Backend { born: Some(1), ..backend("s1", held) });
+    planner.set_config(Time(0), config(4, 3.0));
+    planner.update_server(Time(0), &Backend { born: Some(1), ..backend("s1", held) });
     let held = held.iter().map(|(name, version)| (key(name), *version)).collect();
     planner.reported(Time(0), "s1", &report(1, held));
     (planner, "s1".into())
@@ -354,12 +357,12 @@
 }
 
 fn born_again(planner: &mut Planner, now: u64, server: &Rc<str>) {
-    planner.born_again(Time(now), server);
-    planner.server(Time(now), &Backend { born: Some(2), ..backend("s1", &[]) });
+    planner.server_restarted(Time(now), server);
+    planner.update_server(Time(now), &Backend { born: Some(2), ..backend("s1", &[]) });
 }
 
 fn begun(planner: &mut Planner, now: u64, server: &Rc<str>, adapter: &str) -> Vec<Plan> {
-    planner.wish(Time(now), server, &key(adapter), 1, 1);
+    planner.request_load(Time(now), server, &key(adapter), 1, 1);
     planner.plan(Time(now), std::slice::from_ref(server)).0
 }
 
@@ -370,7 +373,10 @@
     assert!(begun(&mut planner, 110, &server, "a2").is_empty());
     planner.reported(Time(120), "s1", &report(2, Vec::new()));
     assert_eq!(begun(&mut planner, 130, &server, "a2").len(), 1);
-    assert_ne!(planner.wish(Time(140), &server, &key("a1"), 1, 1), WishAnswer::Held(1));
+    assert_ne!(
+        planner.request_load(Time(140), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Held(1)
+    );
 }
 
 #[test]
@@ -379,8 +385,11 @@
     let former = begun(&mut planner, 10, &server, "a1").remove(0);
     born_again(&mut planner, 100, &server);
     planner.reported(Time(110), "s1", &report(2, Vec::new()));
-    planner.ended(Time(120), &former, PlanEnd::Done, Some(ms(100)));
-    assert_ne!(planner.wish(Time(130), &server, &key("a1"), 1, 1), WishAnswer::Held(1));
+    planner.ended(Time(120), &former, PlanOutcome::Done, Some(ms(100)));
+    assert_ne!(
+        planner.request_load(Time(130), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Held(1)
+    );
 }
 
 #[test]
@@ -392,7 +401,7 @@
     for (n, adapter) in ["a1", "a2", "a3"].into_iter().enumerate() {
         let now = 1_000 + 500 * n as u64;
         for plan in begun(&mut planner, now, &server, adapter) {
-            planner.ended(Time(now + 100), &plan, PlanEnd::Done, Some(ms(100)));
+            planner.ended(Time(now + 100), &plan, PlanOutcome::Done, Some(ms(100)));
             loaded.insert(adapter, plan.evict.is_some());
         }
     }
@@ -412,7 +421,10 @@
     planner.unload_unanswered(Time(50), &server, &key("a1"));
     born_again(&mut planner, 100, &server);
     planner.reported(Time(110), "s1", &report(2, Vec::new()));
-    assert_eq!(planner.wish(Time(120), &server, &key("a1"), 1, 1), WishAnswer::Refused);
+    assert_eq!(
+        planner.request_load(Time(120), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Refused
+    );
     assert_eq!(begun(&mut planner, 130, &server, "a2").len(), 1);
     planner.reported(Time(17_000), "s1", &report(2, Vec::new()));
     assert_eq!(begun(&mut planner, 17_010, &server, "a1").len(), 1);
@@ -426,7 +438,7 @@
     let mut surveys = Vec::new();
     for now in (200..30_000).step_by(100) {
         planner.plan(Time(now), &ours);
-        if !planner.unsurveyed(&ours).is_empty() {
+        if !planner.needing_survey(&ours).is_empty() {
             surveys.push(now);
             planner.reported(Time(now), "s1", &report(2, Vec::new()));
         }
--- a/crates/portrack/tests/gateway/loads.rs
+++ b/crates/portrack/tests/gateway/loads.rs
@@ -3,15 +3,15 @@
 use crate::support::backend;
 use portrack::Time;
 use portrack::gateway::{
-    LoadTable, Place, Regions, ServerLoad, Work, cheapest, server_mark, two_of,
+    LoadTable, Locality, Regions, ServerLoad, Work, cheapest, server_mark, two_of,
 };
 use std::rc::Rc;
 use std::time::Duration;
 
 fn chosen(loads: &LoadTable, now: u64) -> String {
     let servers = [Rc::new(backend("s1", &[])), Rc::new(backend("s2", &[]))];
-    let place = Place::new("a", Regions::default());
-    let best = cheapest(Time(now), loads, &place, &[], servers.iter()).expect("one of them");
+    let locality = Locality::new("a", Regions::default());
+    let best = cheapest(Time(now), loads, &locality, &[], servers.iter()).expect("one of them");
     best.id.to_string()
 }
 
--- a/crates/portrack/tests/gateway/planner.rs
+++ b/crates/portrack/tests/gateway/planner.rs
@@ -3,7 +3,7 @@
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
 use portrack::gateway::{
-    LoadProgress, Plan, PlanEnd, PlannedLoad, Planner, ServerReport, WishAnswer,
+    LoadProgress, LoadRequestAnswer, Plan, PlanOutcome, PlannedLoad, Planner, ServerReport,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 fn planner(held: &[(&str, u64)]) -> (Planner, Rc<str>) {
     let server: Rc<str> = "s1".into();
     let mut planner = Planner::default();
-    planner.config(Time(0), config(4, 3.0));
-    planner.server(Time(0), &backend("s1", held));
+    planner.set_config(Time(0), config(4, 3.0));
+    planner.update_server(Time(0), &backend("s1", held));
     planner.reported(Time(0), "s1", &report(held));
     (planner, server)
 }
@@ -45,26 +45,35 @@
 #[test]
 fn a_wish_becomes_one_load_and_then_a_holding() {
     let (mut planner, server) = planner(&[]);
-    assert_eq!(planner.wish(Time(10), &server, &key("a1"), 1, 1), WishAnswer::Coming(FETCH));
-    assert_eq!(planner.wish(Time(11), &server, &key("a1"), 1, 0), WishAnswer::Coming(FETCH));
+    assert_eq!(
+        planner.request_load(Time(10), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Coming(FETCH)
+    );
+    assert_eq!(
+        planner.request_load(Time(11), &server, &key("a1"), 1, 0),
+        LoadRequestAnswer::Coming(FETCH)
+    );
     let begun = plans(&mut planner, 12, &server);
     let [plan] = &begun[..] else { panic!("one plan: {begun:?}") };
     assert_eq!(plan.load, PlannedLoad::Adapter(key("a1"), 1));
     assert!(plan.cold && plan.evict.is_none());
     assert!(plans(&mut planner, 13, &server).is_empty(), "not twice");
-    planner.ended(Time(300), plan, PlanEnd::Done, Some(ms(280)));
-    assert_eq!(planner.wish(Time(310), &server, &key("a1"), 1, 1), WishAnswer::Held(1));
+    planner.ended(Time(300), plan, PlanOutcome::Done, Some(ms(280)));
+    assert_eq!(
+        planner.request_load(Time(310), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Held(1)
+    );
 }
 
 #[test]
 fn a_server_is_not_ordered_before_its_report_was_read() {
     let server: Rc<str> = "s1".into();
     let mut planner = Planner::default();
-    planner.config(Time(0), config(5, 3.0));
-    planner.server(Time(0), &backend("s1", &[]));
-    planner.wish(Time(10), &server, &key("a1"), 1, 1);
+    planner.set_config(Time(0), config(5, 3.0));
+    planner.update_server(Time(0), &backend("s1", &[]));
+    planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     assert!(plans(&mut planner, 20, &server).is_empty());
-    assert_eq!(planner.unsurveyed(std::slice::from_ref(&server)).len(), 1);
+    assert_eq!(planner.needing_survey(std::slice::from_ref(&server)).len(), 1);
     planner.reported(Time(30), "s1", &report(&[]));
     assert_eq!(plans(&mut planner, 40, &server).len(), 1);
 }
@@ -73,7 +82,7 @@
 fn one_place_always_stays_free_and_pending_loads_count() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1)]);
     for name in ["b1", "b2", "b3", "b4"] {
-        planner.wish(Time(10_000), &server, &key(name), 1, 1);
+        planner.request_load(Time(10_000), &server, &key(name), 1, 1);
     }
     let begun = plans(&mut planner, 10_001, &server);
     let evicting = begun.iter().filter(|plan| plan.evict.is_some()).count();
@@ -88,7 +97,7 @@
     let mut told = report(&[]);
     told.pending = ["p1", "p2", "p3"].iter().map(|name| (key(name), 1)).collect();
     planner.reported(Time(100), "s1", &told);
-    planner.wish(Time(110), &server, &key("a1"), 1, 1);
+    planner.request_load(Time(110), &server, &key("a1"), 1, 1);
     assert!(plans(&mut planner, 120, &server).is_empty());
 }
 
@@ -96,11 +105,11 @@
 fn the_least_used_idle_adapter_makes_way() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
-    planner.used(Time(1_000), "s1", &key("a1"), 9);
-    planner.used(Time(1_000), "s1", &key("a2"), 1);
-    planner.used(Time(1_000), "s1", &key("a3"), 5);
-    planner.running(Time(9_900), "s1", &key("a4"), daemon(1), true);
-    planner.wish(Time(10_000), &server, &key("b1"), 1, 1);
+    planner.record_use(Time(1_000), "s1", &key("a1"), 9);
+    planner.record_use(Time(1_000), "s1", &key("a2"), 1);
+    planner.record_use(Time(1_000), "s1", &key("a3"), 5);
+    planner.set_running(Time(9_900), "s1", &key("a4"), daemon(1), true);
+    planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
     assert_eq!(begun[0].evict, Some(key("a2")), "a4 is asked for less but may be in use");
 }
@@ -109,14 +118,14 @@
 fn a_place_is_free_once_the_last_daemon_that_uses_it_said_that_it_does_no_longer() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     for (name, at) in [("a1", 9_900), ("a2", 9_900), ("a3", 9_900), ("a4", 9_900)] {
-        planner.running(Time(at), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(at), "s1", &key(name), daemon(1), true);
     }
-    planner.running(Time(9_910), "s1", &key("a2"), daemon(2), true);
-    planner.running(Time(10_000), "s1", &key("a2"), daemon(1), false);
-    let wished = planner.wish(Time(10_001), &server, &key("b1"), 1, 1);
-    assert_eq!(wished, WishAnswer::Refused, "another daemon uses a2 still");
-    planner.running(Time(10_002), "s1", &key("a2"), daemon(2), false);
-    planner.wish(Time(10_003), &server, &key("b1"), 1, 1);
+    planner.set_running(Time(9_910), "s1", &key("a2"), daemon(2), true);
+    planner.set_running(Time(10_000), "s1", &key("a2"), daemon(1), false);
+    let wished = planner.request_load(Time(10_001), &server, &key("b1"), 1, 1);
+    assert_eq!(wished, LoadRequestAnswer::Refused, "another daemon uses a2 still");
+    planner.set_running(Time(10_002), "s1", &key("a2"), daemon(2), false);
+    planner.request_load(Time(10_003), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 10_004, &server)[0].evict, Some(key("a2")));
 }
 
@@ -124,26 +133,26 @@
 fn a_daemon_that_falls_silent_holds_no_place_for_ever() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     for name in ["a1", "a2", "a3", "a4"] {
-        planner.running(Time(10_000), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(10_000), "s1", &key(name), daemon(1), true);
     }
-    let wished = planner.wish(Time(11_400), &server, &key("b1"), 1, 1);
-    assert_eq!(wished, WishAnswer::Refused);
-    planner.wish(Time(11_500), &server, &key("b1"), 1, 1);
+    let wished = planner.request_load(Time(11_400), &server, &key("b1"), 1, 1);
+    assert_eq!(wished, LoadRequestAnswer::Refused);
+    planner.request_load(Time(11_500), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 11_501, &server).len(), 1);
 }
 
 #[test]
 fn what_was_loaded_or_asked_for_a_moment_ago_does_not_make_way() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1)]);
-    planner.wish(Time(10_000), &server, &key("a4"), 1, 1);
+    planner.request_load(Time(10_000), &server, &key("a4"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
-    planner.ended(Time(10_300), &begun[0], PlanEnd::Done, Some(ms(280)));
+    planner.ended(Time(10_300), &begun[0], PlanOutcome::Done, Some(ms(280)));
     for name in ["a1", "a2", "a3"] {
-        planner.running(Time(10_300), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(10_300), "s1", &key(name), daemon(1), true);
     }
-    let soon = planner.wish(Time(10_400), &server, &key("b1"), 1, 1);
-    assert_eq!(soon, WishAnswer::Refused, "the requests for a4 are on their way");
-    planner.wish(Time(10_550), &server, &key("b1"), 1, 1);
+    let soon = planner.request_load(Time(10_400), &server, &key("b1"), 1, 1);
+    assert_eq!(soon, LoadRequestAnswer::Refused, "the requests for a4 are on their way");
+    planner.request_load(Time(10_550), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 10_551, &server)[0].evict, Some(key("a4")));
 }
 
@@ -152,18 +161,21 @@
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     for (name, _) in held {
-        planner.running(Time(9_900), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(9_900), "s1", &key(name), daemon(1), true);
     }
-    assert_eq!(planner.wish(Time(10_000), &server, &key("b1"), 1, 1), WishAnswer::Refused);
+    assert_eq!(
+        planner.request_load(Time(10_000), &server, &key("b1"), 1, 1),
+        LoadRequestAnswer::Refused
+    );
 }
 
 #[test]
 fn an_outdated_adapter_makes_way_first() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
-    planner.used(Time(1_000), "s1", &key("a1"), 50);
-    planner.named(&key("a1"), 2);
-    planner.wish(Time(10_000), &server, &key("b1"), 1, 1);
+    planner.record_use(Time(1_000), "s1", &key("a1"), 50);
+    planner.announce_version(&key("a1"), 2);
+    planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 10_001, &server)[0].evict, Some(key("a1")));
 }
 
@@ -171,55 +183,55 @@
 fn a_newer_version_at_a_full_server_takes_a_place_of_its_own_until_it_is_loaded() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
-    planner.used(Time(1_000), "s1", &key("a3"), 5);
-    planner.used(Time(1_000), "s1", &key("a4"), 5);
-    planner.wish(Time(10_000), &server, &key("a1"), 2, 1);
+    planner.record_use(Time(1_000), "s1", &key("a3"), 5);
+    planner.record_use(Time(1_000), "s1", &key("a4"), 5);
+    planner.request_load(Time(10_000), &server, &key("a1"), 2, 1);
     let begun = plans(&mut planner, 10_001, &server);
     assert_eq!(begun[0].evict, Some(key("a2")), "another one makes way");
     planner.evicted("s1", &key("a2"));
-    planner.wish(Time(10_010), &server, &key("b1"), 1, 1);
+    planner.request_load(Time(10_010), &server, &key("b1"), 1, 1);
     let next = plans(&mut planner, 10_011, &server);
     assert_eq!(next[0].evict, Some(key("a3")), "both versions of a1 count");
-    planner.ended(Time(10_020), &next[0], PlanEnd::NotSent, None);
-    planner.ended(Time(10_300), &begun[0], PlanEnd::Done, Some(ms(280)));
+    planner.ended(Time(10_020), &next[0], PlanOutcome::NotSent, None);
+    planner.ended(Time(10_300), &begun[0], PlanOutcome::Done, Some(ms(280)));
     planner.reported(Time(11_500), "s1", &report(&[("a1", 2), ("a3", 1), ("a4", 1)]));
-    planner.wish(Time(11_600), &server, &key("b2"), 1, 1);
+    planner.request_load(Time(11_600), &server, &key("b2"), 1, 1);
     assert_eq!(plans(&mut planner, 11_601, &server)[0].evict, None, "one version, one place");
 }
 
 #[test]
 fn an_older_version_keeps_its_place_if_the_newer_one_was_not_ordered_after_all() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
-    planner.wish(Time(10_000), &server, &key("a1"), 2, 1);
+    planner.request_load(Time(10_000), &server, &key("a1"), 2, 1);
     let begun = plans(&mut planner, 10_001, &server);
     assert_eq!(begun[0].evict, Some(key("a2")));
-    planner.ended(Time(10_005), &begun[0], PlanEnd::InUse, None);
+    planner.ended(Time(10_005), &begun[0], PlanOutcome::InUse, None);
     assert_eq!(planner.load_progress("s1", &key("a1"), 1), LoadProgress::Held);
     for name in ["a1", "a3", "a4"] {
-        planner.running(Time(10_006), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(10_006), "s1", &key(name), daemon(1), true);
     }
-    let wished = planner.wish(Time(10_007), &server, &key("b1"), 1, 1);
-    assert_eq!(wished, WishAnswer::Refused, "four places, four adapters, one about to go");
+    let wished = planner.request_load(Time(10_007), &server, &key("b1"), 1, 1);
+    assert_eq!(wished, LoadRequestAnswer::Refused, "four places, four adapters, one about to go");
 }
 
 #[test]
 fn a_place_is_promised_to_one_wish() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     for name in ["a1", "a2", "a3"] {
-        planner.running(Time(10_000), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(10_000), "s1", &key(name), daemon(1), true);
     }
-    let first = planner.wish(Time(10_001), &server, &key("b1"), 1, 1);
-    assert_eq!(first, WishAnswer::Coming(FETCH));
-    let second = planner.wish(Time(10_002), &server, &key("b2"), 1, 1);
-    assert_eq!(second, WishAnswer::Refused, "the only place that can be had is promised");
-    let again = planner.wish(Time(10_003), &server, &key("b1"), 1, 1);
-    assert_eq!(again, WishAnswer::Coming(FETCH), "the same wish keeps its promise");
+    let first = planner.request_load(Time(10_001), &server, &key("b1"), 1, 1);
+    assert_eq!(first, LoadRequestAnswer::Coming(FETCH));
+    let second = planner.request_load(Time(10_002), &server, &key("b2"), 1, 1);
+    assert_eq!(second, LoadRequestAnswer::Refused, "the only place that can be had is promised");
+    let again = planner.request_load(Time(10_003), &server, &key("b1"), 1, 1);
+    assert_eq!(again, LoadRequestAnswer::Coming(FETCH), "the same wish keeps its promise");
 }
 
 #[test]
 fn a_load_that_made_way_again_before_it_was_confirmed_is_over() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1)]);
-    planner.wish(Time(10_000), &server, &key("a4"), 1, 1);
+    planner.request_load(Time(10_000), &server, &key("a4"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
     let progress = |planner: &Planner| planner.load_progress("s1", &key("a4"), 1);
     assert_eq!(progress(&planner), LoadProgress::Loading);
@@ -227,23 +239,26 @@
     planner.reported(Time(11_000), "s1", &report(&held));
     assert_eq!(progress(&planner), LoadProgress::Held, "a report tells it");
     for name in ["a1", "a2", "a3"] {
-        planner.running(Time(11_900), "s1", &key(name), daemon(1), true);
+        planner.set_running(Time(11_900), "s1", &key(name), daemon(1), true);
     }
-    planner.wish(Time(12_000), &server, &key("b1"), 1, 1);
+    planner.request_load(Time(12_000), &server, &key("b1"), 1, 1);
     let next = plans(&mut planner, 12_001, &server);
     assert_eq!(next[0].evict, Some(key("a4")));
     assert_eq!(progress(&planner), LoadProgress::Over, "it is about to go");
     planner.evicted("s1", &key("a4"));
     assert_eq!(progress(&planner), LoadProgress::Over);
-    planner.ended(Time(12_100), &begun[0], PlanEnd::Overtaken, None);
+    planner.ended(Time(12_100), &begun[0], PlanOutcome::Overtaken, None);
     assert_eq!(progress(&planner), LoadProgress::Over, "the first step changes nothing any more");
 }
 
 #[test]
 fn a_wish_gets_the_newest_version_that_is_named() {
     let (mut planner, server) = planner(&[("a1", 1)]);
-    planner.named(&key("a1"), 3);
-    assert_eq!(planner.wish(Time(10), &server, &key("a1"), 1, 1), WishAnswer::Coming(FETCH));
+    planner.announce_version(&key("a1"), 3);
+    assert_eq!(
+        planner.request_load(Time(10), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Coming(FETCH)
+    );
     let begun = plans(&mut planner, 11, &server);
     assert_eq!(begun[0].load, PlannedLoad::Adapter(key("a1"), 3));
 }
@@ -251,11 +266,11 @@
 #[test]
 fn after_an_order_without_an_answer_the_server_is_asked_first() {
     let (mut planner, server) = planner(&[]);
-    planner.wish(Time(10), &server, &key("a1"), 1, 1);
+    planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     let begun = plans(&mut planner, 11, &server);
-    planner.ended(Time(700), &begun[0], PlanEnd::Unknown, None);
-    planner.unsure("s1");
-    planner.wish(Time(710), &server, &key("a2"), 1, 1);
+    planner.ended(Time(700), &begun[0], PlanOutcome::Unknown, None);
+    planner.invalidate_survey("s1");
+    planner.request_load(Time(710), &server, &key("a2"), 1, 1);
     assert!(plans(&mut planner, 5_000, &server).is_empty());
     planner.reported(Time(5_010), "s1", &report(&[]));
     let (begun, _) = planner.plan(Time(5_020), std::slice::from_ref(&server));
@@ -265,7 +280,7 @@
 #[test]
 fn wishes_that_cannot_be_met_are_given_up() {
     let (mut planner, server) = planner(&[]);
-    planner.wish(Time(10), &server, &key("a1"), 1, 1);
+    planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     let (begun, given_up) = planner.plan(Time(2_100), &[]);
     assert!(begun.is_empty());
     assert_eq!(given_up, [(server, key("a1"))]);
@@ -274,9 +289,9 @@
 #[test]
 fn a_busy_server_keeps_the_wish() {
     let (mut planner, server) = planner(&[]);
-    planner.wish(Time(10), &server, &key("a1"), 1, 1);
+    planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     let begun = plans(&mut planner, 11, &server);
-    planner.ended(Time(20), &begun[0], PlanEnd::Busy, None);
+    planner.ended(Time(20), &begun[0], PlanOutcome::Busy, None);
     planner.reported(Time(30), "s1", &report(&[]));
     assert!(plans(&mut planner, 40, &server).is_empty(), "left alone for a moment");
     assert_eq!(plans(&mut planner, 200, &server).len(), 1);
@@ -285,12 +300,12 @@
 #[test]
 fn base_models_go_to_empty_servers_within_the_stores_rate() {
     let mut planner = Planner::default();
-    planner.config(Time(0), config(5, 1.0));
+    planner.set_config(Time(0), config(5, 1.0));
     let servers: Vec<Rc<str>> = (0..8).map(|n| format!("s{n}").into()).collect();
     for id in &servers {
         let mut empty = backend(id, &[]);
         empty.models.clear();
-        planner.server(Time(0), &empty);
+        planner.update_server(Time(0), &empty);
         planner.reported(Time(0), id, &ServerReport::default());
     }
     let mut loads = 0;
@@ -305,15 +320,18 @@
     let (mut planner, server) = planner(&[]);
     let mut leaving = backend("s1", &[]);
     leaving.draining = true;
-    planner.server(Time(5), &leaving);
-    assert_eq!(planner.wish(Time(10), &server, &key("a1"), 1, 1), WishAnswer::Refused);
+    planner.update_server(Time(5), &leaving);
+    assert_eq!(
+        planner.request_load(Time(10), &server, &key("a1"), 1, 1),
+        LoadRequestAnswer::Refused
+    );
 }
 
 #[test]
 fn what_a_server_once_held_is_at_hand() {
     let (mut planner, server) = planner(&[("a1", 1)]);
     planner.evicted("s1", &key("a1"));
-    planner.wish(Time(20), &server, &key("a1"), 1, 1);
+    planner.request_load(Time(20), &server, &key("a1"), 1, 1);
     let begun = plans(&mut planner, 20 + ms(5).as_millis() as u64, &server);
     assert!(!begun[0].cold);
 }
@@ -321,9 +339,9 @@
 #[test]
 fn the_most_asked_for_goes_first_when_fetches_are_limited() {
     let (mut planner, server) = planner(&[]);
-    planner.wish(Time(10), &server, &key("rare"), 1, 1);
-    planner.wish(Time(11), &server, &key("mid"), 1, 3);
-    planner.wish(Time(12), &server, &key("hot"), 1, 9);
+    planner.request_load(Time(10), &server, &key("rare"), 1, 1);
+    planner.request_load(Time(11), &server, &key("mid"), 1, 3);
+    planner.request_load(Time(12), &server, &key("hot"), 1, 9);
     let begun = plans(&mut planner, 13, &server);
     let loads: Vec<&PlannedLoad> = begun.iter().map(|plan| &plan.load).collect();
     assert_eq!(
@@ -331,8 +349,8 @@
         [&PlannedLoad::Adapter(key("hot"), 1), &PlannedLoad::Adapter(key("mid"), 1)],
         "two at once to begin with"
     );
-    let answer = planner.wish(Time(14), &server, &key("rare"), 1, 1);
-    let WishAnswer::Coming(after) = answer else { panic!("{answer:?}") };
+    let answer = planner.request_load(Time(14), &server, &key("rare"), 1, 1);
+    let LoadRequestAnswer::Coming(after) = answer else { panic!("{answer:?}") };
     assert!(after >= FETCH, "it waits for those on the way: {after:?}");
 }
 
@@ -340,9 +358,9 @@
 fn an_unload_that_waits_for_its_runs_keeps_the_place_taken() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
-    planner.wish(Time(10_000), &server, &key("b1"), 1, 1);
+    planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
-    planner.ended(Time(10_010), &begun[0], PlanEnd::InUse, None);
+    planner.ended(Time(10_010), &begun[0], PlanOutcome::InUse, None);
     let next = plans(&mut planner, 10_020, &server);
     assert_ne!(next[0].evict, begun[0].evict, "another one makes way");
     assert!(next[0].evict.is_some(), "the place is not free yet");
@@ -352,12 +370,12 @@
 fn a_list_from_before_an_outage_takes_nothing_off_a_server_that_is_ordered_here() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1)]);
     for (now, name) in [(10, "a3"), (20, "a4")] {
-        planner.wish(Time(now), &server, &key(name), 1, 1);
+        planner.request_load(Time(now), &server, &key(name), 1, 1);
         let begun = plans(&mut planner, now, &server);
-        planner.ended(Time(now + 5), &begun[0], PlanEnd::Done, Some(ms(280)));
+        planner.ended(Time(now + 5), &begun[0], PlanOutcome::Done, Some(ms(280)));
     }
-    planner.server(Time(12_000), &backend("s1", &[("a1", 1)]));
-    planner.wish(Time(12_010), &server, &key("b1"), 1, 1);
+    planner.update_server(Time(12_000), &backend("s1", &[("a1", 1)]));
+    planner.request_load(Time(12_010), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 12_011, &server);
     assert!(begun[0].evict.is_some(), "all places are taken, whatever the list says");
 }
@@ -366,17 +384,17 @@
 fn a_place_that_waits_for_its_runs_is_free_once_a_report_says_so() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
-    planner.wish(Time(10_000), &server, &key("b1"), 1, 1);
+    planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
     let victim = begun[0].evict.clone().expect("one makes way");
-    planner.ended(Time(10_010), &begun[0], PlanEnd::InUse, None);
-    assert!(planner.unsurveyed(std::slice::from_ref(&server)).is_empty());
+    planner.ended(Time(10_010), &begun[0], PlanOutcome::InUse, None);
+    assert!(planner.needing_survey(std::slice::from_ref(&server)).is_empty());
     planner.plan(Time(12_000), std::slice::from_ref(&server));
-    assert_eq!(planner.unsurveyed(std::slice::from_ref(&server)).len(), 1, "it is asked again");
+    assert_eq!(planner.needing_survey(std::slice::from_ref(&server)).len(), 1, "it is asked again");
     let left: Vec<(&str, u64)> =
         held.iter().copied().filter(|(n, _)| *n != &*victim.adapter).collect();
     planner.reported(Time(12_100), "s1", &report(&left));
-    planner.wish(Time(12_110), &server, &key("b2"), 1, 1);
+    planner.request_load(Time(12_110), &server, &key("b2"), 1, 1);
     let begun = plans(&mut planner, 12_120, &server);
     assert!(begun.iter().any(|plan| plan.evict.is_none()));
 }
@@ -385,31 +403,31 @@
 fn loads_without_an_answer_that_a_report_tells_as_held_are_no_longer_pending() {
     let (mut planner, server) = planner(&[]);
     for (now, name) in [(10_000, "b1"), (13_000, "b2"), (16_000, "b3")] {
-        planner.wish(Time(now), &server, &key(name), 1, 1);
+        planner.request_load(Time(now), &server, &key(name), 1, 1);
         let begun = plans(&mut planner, now, &server);
-        planner.ended(Time(now + 700), &begun[0], PlanEnd::Unknown, None);
+        planner.ended(Time(now + 700), &begun[0], PlanOutcome::Unknown, None);
     }
-    planner.unsure("s1");
+    planner.invalidate_survey("s1");
     let told = report(&[("b1", 1), ("b2", 1), ("b3", 1)]);
     planner.reported(Time(20_000), "s1", &told);
-    planner.wish(Time(20_010), &server, &key("c1"), 1, 1);
+    planner.request_load(Time(20_010), &server, &key("c1"), 1, 1);
     assert_eq!(plans(&mut planner, 20_020, &server).len(), 1, "nothing is on the way there");
 }
 
 #[test]
 fn a_replacement_that_never_began_leaves_the_old_version_held() {
     let (mut planner, server) = planner(&[("a1", 1)]);
-    planner.wish(Time(10), &server, &key("a1"), 2, 1);
+    planner.request_load(Time(10), &server, &key("a1"), 2, 1);
     let begun = plans(&mut planner, 11, &server);
     assert_eq!(begun[0].load, PlannedLoad::Adapter(key("a1"), 2));
-    planner.ended(Time(700), &begun[0], PlanEnd::Unknown, None);
+    planner.ended(Time(700), &begun[0], PlanOutcome::Unknown, None);
     let mut told = report(&[("a1", 1)]);
     told.pending = vec![(key("a1"), 2)];
     planner.reported(Time(3_000), "s1", &told);
-    planner.wish(Time(3_010), &server, &key("a1"), 2, 1);
+    planner.request_load(Time(3_010), &server, &key("a1"), 2, 1);
     assert!(plans(&mut planner, 3_020, &server).is_empty(), "it is on the way");
     planner.reported(Time(4_000), "s1", &report(&[("a1", 1)]));
-    planner.wish(Time(4_010), &server, &key("a1"), 2, 1);
+    planner.request_load(Time(4_010), &server, &key("a1"), 2, 1);
     assert_eq!(plans(&mut planner, 4_020, &server).len(), 1, "it is not: it is ordered again");
 }
 
@@ -417,9 +435,9 @@
 fn the_pace_of_an_adapter_follows_its_requests_within_a_second() {
     let (mut planner, server) = planner(&[("a1", 1)]);
     for step in 0..20 {
-        planner.used(Time(1_000 + step * 50), &server, &key("a1"), 1);
+        planner.record_use(Time(1_000 + step * 50), &server, &key("a1"), 1);
     }
-    let pace = |now| planner.paces(Time(now), &server)[0].1;
+    let pace = |now| planner.request_rates(Time(now), &server)[0].1;
     assert!((10.0..20.0).contains(&pace(2_000)), "{}", pace(2_000));
     assert!(pace(5_000) < 1.0, "demand has moved on");
 }
--- a/crates/portrack/tests/gateway/quarantine.rs
+++ b/crates/portrack/tests/gateway/quarantine.rs
@@ -2,8 +2,8 @@
 //! nodes together, while datagrams are lost, halls are cut off, nodes restart and stand still.
 
 use portrack::gateway::{
-    Capabilities, DaemonAt, Daemons, HoldRecord, MarkedCaller, MarkedRequest, PeerMessage,
-    QuarantineMessage, QuarantineState, RequestMark, SendVerdict, ServerEnd, Unrecorded,
+    CallerIdentity, Capabilities, DaemonAt, Daemons, FingerprintInput, HoldRecord, PeerMessage,
+    QuarantineMessage, QuarantineState, RequestFingerprint, SendVerdict, ServerEnd, Unrecorded,
     encode_message,
 };
 use portrack::types::Time;
@@ -30,9 +30,9 @@
 /// What a daemon's control may send in a second, in bytes.
 const CONTROL_BYTES: usize = 21_000;
 
-fn mark(body: u8) -> RequestMark {
-    RequestMark::of(&MarkedRequest {
-        caller: MarkedCaller::Unknown,
+fn mark(body: u8) -> RequestFingerprint {
+    RequestFingerprint::of(&FingerprintInput {
+        caller: CallerIdentity::Unknown,
         method: "POST",
         host: "h.example",
         target: "/chat/x",
@@ -120,7 +120,7 @@
         }
         match node.state.verdict(now, mark(CRASHING)) {
             SendVerdict::Held(_) => return,
-            SendVerdict::Free => {}
+            SendVerdict::Allowed => {}
             SendVerdict::OnTrial(trial) => {
                 let current = self.record.map(|(_, revision)| revision);
                 if self.store_down || current != Some(trial.revision) {
@@ -423,6 +423,6 @@
         fleet.ask(2);
         fleet.pass(1_000);
         let verdict = fleet.nodes[0].state.verdict(fleet.now, mark(CRASHING));
-        assert_eq!(verdict, SendVerdict::Free);
+        assert_eq!(verdict, SendVerdict::Allowed);
     }
 }
--- a/crates/portrack/tests/gateway/regions.rs
+++ b/crates/portrack/tests/gateway/regions.rs
@@ -4,7 +4,7 @@
 use portrack::Time;
 use portrack::gateway::{
     AllowedRegions, Backend, Capabilities, DaemonAt, Daemons, EraReport, Heartbeat, Home,
-    LoadTable, Offer, Peers, Place, RegionBounds, Regions, WorkGuard, better_of_two,
+    LoadTable, Locality, Offer, Peers, RegionConstraints, Regions, WorkGuard, better_of_two,
     cheaper_of_two, cheapest, dispatchers, home, silent_regions,
 };
 use proptest::prelude::*;
@@ -32,8 +32,8 @@
     regions_of(&HALLS, "n1")
 }
 
-fn place() -> Place {
-    Place::new("n1", regions())
+fn locality() -> Locality {
+    Locality::new("n1", regions())
 }
 
 fn server(id: &str, hall: &str) -> Rc<Backend> {
@@ -53,7 +53,7 @@
     let (near, far) = (server("near", "n2"), server("far", "s1"));
     let both = [far.clone(), near.clone()];
     let choose =
-        || cheapest(Time(10), &loads, &place(), &[], both.iter()).expect("a server").id.clone();
+        || cheapest(Time(10), &loads, &locality(), &[], both.iter()).expect("a server").id.clone();
     let _some = busy(&loads, &near, 3);
     assert_eq!(choose(), near.id, "the way costs more than three requests");
     let _more = busy(&loads, &near, 10);
@@ -68,8 +68,8 @@
     let all: Vec<_> = far.iter().chain(&near).cloned().collect();
     let choose = |tried: &[Rc<str>]| -> BTreeSet<Rc<str>> {
         let ids = (0..200).map(|n| format!("r{n}"));
-        let chosen =
-            ids.filter_map(|id| cheaper_of_two(Time(10), &loads, &place(), &id, tried, all.iter()));
+        let chosen = ids
+            .filter_map(|id| cheaper_of_two(Time(10), &loads, &locality(), &id, tried, all.iter()));
         chosen.map(|server| server.id.clone()).collect()
     };
     let near_ids: BTreeSet<Rc<str>> = near.iter().map(|server| server.id.clone()).collect();
@@ -99,7 +99,7 @@
         named in any::<bool>(),
     ) {
         let one = regions_of(&[("n1", "north"), ("n2", "north"), ("n3", "north")], "n1");
-        let place = if named { Place::new("n1", one) } else { Place::new("n1", Regions::default()) };
+        let locality = if named { Locality::new("n1", one) } else { Locality::new("n1", Regions::default()) };
         let loads = Rc::new(LoadTable::default());
         let servers: Vec<_> = requests.iter().enumerate()
             .map(|(n, (_, hall))| server(&format!("s{n}"), HALLS[*hall].0)).collect();
@@ -111,15 +111,15 @@
         costs.sort_by(|(a, _), (b, _)| a.total_cmp(b));
         let two = portrack::gateway::two_of(&id, costs.len()).expect("some");
         let expected = costs[two[0].min(two[1])].1.clone();
-        let chosen = cheaper_of_two(Time(10), &loads, &place, &id, &[], servers.iter()).expect("some");
+        let chosen = cheaper_of_two(Time(10), &loads, &locality, &id, &[], servers.iter()).expect("some");
         prop_assert_eq!(&chosen.id, &expected);
-        let best = cheapest(Time(10), &loads, &place, &[], servers.iter()).expect("some");
+        let best = cheapest(Time(10), &loads, &locality, &[], servers.iter()).expect("some");
         prop_assert_eq!(&best.id, &costs[0].1);
     }
 }
 
 fn homes(near: usize, far: usize) -> Vec<Home> {
-    let way = place().way("s1");
+    let way = locality().network_cost("s1");
     let all = (0..near).map(|n| (format!("near{n}"), true));
     let all = all.chain((0..far).map(|n| (format!("far{n}"), false)));
     let home = |(server, is_near): (String, bool)| Home {
@@ -181,12 +181,13 @@
 #[test]
 fn each_region_has_a_dispatcher_and_the_own_one_is_asked_first_without_a_way() {
     for duty in 0..20 {
-        let asked = dispatchers(duty, &place(), &daemons(), &halls(&["s1", "n2", "n3"]), |_| true);
+        let asked =
+            dispatchers(duty, &locality(), &daemons(), &halls(&["s1", "n2", "n3"]), |_| true);
         assert_eq!(asked.len(), 2);
         assert_eq!((region_of(asked[0].dispatcher), asked[0].way), ("north", Duration::ZERO));
         assert_eq!(region_of(asked[1].dispatcher), "south");
         assert!(asked[1].way > Duration::ZERO);
-        let from_south = Place::new("s2", regions_of(&HALLS, "s2"));
+        let from_south = Locality::new("s2", regions_of(&HALLS, "s2"));
         let other = dispatchers(duty, &from_south, &daemons(), &halls(&["n2", "s1"]), |_| true);
         assert_eq!(other[0].dispatcher, asked[1].dispatcher, "everybody knows the same ones");
         assert_eq!(other[1].dispatcher, asked[0].dispatcher);
@@ -195,23 +196,24 @@
 
 #[test]
 fn a_region_without_servers_or_daemons_is_not_asked() {
-    let only_far = dispatchers(1, &place(), &daemons(), &halls(&["s1"]), |_| true);
+    let only_far = dispatchers(1, &locality(), &daemons(), &halls(&["s1"]), |_| true);
     assert_eq!(
         only_far.iter().map(|whom| region_of(whom.dispatcher)).collect::<Vec<_>>(),
         ["south"]
     );
     let cut = |daemon: &DaemonAt| daemon.hall.starts_with('n');
-    assert_eq!(dispatchers(1, &place(), &daemons(), &halls(&["n1", "s1"]), cut).len(), 1);
-    assert!(dispatchers(1, &place(), &daemons(), &[], |_| true).is_empty());
+    assert_eq!(dispatchers(1, &locality(), &daemons(), &halls(&["n1", "s1"]), cut).len(), 1);
+    assert!(dispatchers(1, &locality(), &daemons(), &[], |_| true).is_empty());
 }
 
 #[test]
 fn one_region_has_the_one_dispatcher_that_it_always_had() {
     let all: Vec<DaemonAt> = (0..18).map(|n| daemon(n, ["n1", "n2"][usize::from(n) % 2])).collect();
     for regions in [Regions::default(), regions_of(&[("n1", "north"), ("n2", "north")], "n1")] {
-        let place = Place::new("n1", regions);
+        let locality = Locality::new("n1", regions);
         let daemons = Daemons::new(all.clone());
-        let asked = dispatchers(5, &place, &daemons, &halls(&["n1", "n2", "elsewhere"]), |_| true);
+        let asked =
+            dispatchers(5, &locality, &daemons, &halls(&["n1", "n2", "elsewhere"]), |_| true);
         assert_eq!(
             asked.iter().map(|whom| whom.dispatcher).collect::<Vec<_>>(),
             daemons.first(5, |_| true).into_iter().collect::<Vec<_>>()
@@ -226,7 +228,7 @@
     let south = regions_of(&HALLS, "s1");
     assert_eq!(north.serving("new"), south.serving("new"));
     assert_eq!(north.serving("s2").as_ref(), "south");
-    assert_eq!(dispatchers(1, &place(), &daemons(), &halls(&["new"]), |_| true).len(), 1);
+    assert_eq!(dispatchers(1, &locality(), &daemons(), &halls(&["new"]), |_| true).len(), 1);
 }
 
 fn address(last: u8) -> SocketAddr {
@@ -363,9 +365,11 @@
 #[test]
 fn route_and_organisation_both_bind_and_a_hall_without_a_region_is_in_none() {
     let (north, both, none) = (allowed(&["north"]), allowed(&["north", "south"]), allowed(&[]));
-    let bounds = |route, organisation| RegionBounds { route, organisation };
+    let bounds = |route, organisation| RegionConstraints { route, organisation };
     let free = bounds(None, None);
-    assert!(!free.is_bound() && free.permits(&regions(), "s1") && free.permits(&regions(), "new"));
+    assert!(
+        !free.is_constrained() && free.permits(&regions(), "s1") && free.permits(&regions(), "new")
+    );
     assert!(bounds(Some(&both), None).permits(&regions(), "s1"));
     assert!(!bounds(Some(&both), None).permits(&regions(), "new"));
     assert!(!bounds(Some(&both), Some(&north)).permits(&regions(), "s1"));
@@ -397,11 +401,11 @@
         let named: BTreeMap<String, String> = zones.iter().enumerate()
             .filter_map(|(n, zone)| zone.map(|zone| (hall(n), NAMES[zone].to_owned())))
             .collect();
-        let place = Place::new(&hall(own), Regions::new(&hall(own), &named));
+        let locality = Locality::new(&hall(own), Regions::new(&hall(own), &named));
         let set = |names: &Option<BTreeSet<usize>>| names.as_ref()
             .map(|names| allowed(&names.iter().map(|n| NAMES[*n]).collect::<Vec<_>>()));
         let (of_route, of_organisation) = (set(&route), set(&organisation));
-        let bounds = RegionBounds { route: of_route.as_ref(), organisation: of_organisation.as_ref() };
+        let bounds = RegionConstraints { route: of_route.as_ref(), organisation: of_organisation.as_ref() };
         let may = |n: usize| [&route, &organisation].iter().all(|names| match names {
             None => true,
             Some(names) => zones[n].is_some_and(|zone| names.contains(&zone)),
@@ -413,10 +417,10 @@
             .map(|(server, (_, work))| busy(&loads, server, *work)).collect();
         let mut tried: Vec<Rc<str>> = Vec::new();
         loop {
-            let open = all.iter().filter(|server| bounds.permits(place.regions(), &server.hall));
+            let open = all.iter().filter(|server| bounds.permits(locality.regions(), &server.hall));
             let chosen = match lag {
-                true => cheaper_of_two(Time(10), &loads, &place, &id, &tried, open),
-                false => cheapest(Time(10), &loads, &place, &tried, open),
+                true => cheaper_of_two(Time(10), &loads, &locality, &id, &tried, open),
+                false => cheapest(Time(10), &loads, &locality, &tried, open),
             };
             let Some(chosen) = chosen else { break };
             let at = chosen.hall[1..].parse().expect("a number");
--- a/crates/portrack/tests/gateway/suspects.rs
+++ b/crates/portrack/tests/gateway/suspects.rs
@@ -1,8 +1,8 @@
 //! Which requests are held back: the ends of servers are counted, answers clear, memory is bounded.
 
 use portrack::gateway::{
-    Counted, HeldRequest, MOST_ENDS, MarkedCaller, MarkedRequest, RequestMark, SendVerdict,
-    ServerEnd, Suspects, Unrecorded,
+    CallerIdentity, CountOutcome, FingerprintInput, HeldRequest, MOST_ENDS, RequestFingerprint,
+    SendVerdict, ServerEnd, SuspectRequests, Unrecorded,
 };
 use portrack::types::Time;
 use proptest::prelude::*;
@@ -13,9 +13,9 @@
 const MINUTE: Duration = Duration::from_secs(60);
 const FIRST_HOLD: Duration = Duration::from_secs(120);
 
-fn mark(body: u32) -> RequestMark {
-    RequestMark::of(&MarkedRequest {
-        caller: MarkedCaller::Unknown,
+fn mark(body: u32) -> RequestFingerprint {
+    RequestFingerprint::of(&FingerprintInput {
+        caller: CallerIdentity::Unknown,
         method: "POST",
         host: "h.example",
         target: "/chat/x",
@@ -23,13 +23,13 @@
     })
 }
 
-fn end(suspects: &mut Suspects, at: Time, body: u32, life: u32) -> Counted {
+fn end(suspects: &mut SuspectRequests, at: Time, body: u32, life: u32) -> CountOutcome {
     suspects.count(at, mark(body), ServerEnd { life, at })
 }
 
 /// A request under which servers ended a second apart, until it is held back.
-fn held(body: u32) -> Suspects {
-    let mut suspects = Suspects::default();
+fn held(body: u32) -> SuspectRequests {
+    let mut suspects = SuspectRequests::default();
     for n in 0..MOST_ENDS as u32 {
         end(&mut suspects, START + SECOND * n, body, n);
     }
@@ -41,22 +41,22 @@
 
 #[test]
 fn the_third_end_holds_a_request_back_and_no_other() {
-    let mut suspects = Suspects::default();
-    assert_eq!(end(&mut suspects, START, 1, 1), Counted::Ends(1));
-    assert_eq!(end(&mut suspects, START + SECOND, 1, 2), Counted::Ends(2));
-    assert_eq!(suspects.verdict(START + SECOND, mark(1)), SendVerdict::Free);
-    assert_eq!(end(&mut suspects, START + SECOND * 2, 1, 3), Counted::Held);
+    let mut suspects = SuspectRequests::default();
+    assert_eq!(end(&mut suspects, START, 1, 1), CountOutcome::Ends(1));
+    assert_eq!(end(&mut suspects, START + SECOND, 1, 2), CountOutcome::Ends(2));
+    assert_eq!(suspects.verdict(START + SECOND, mark(1)), SendVerdict::Allowed);
+    assert_eq!(end(&mut suspects, START + SECOND * 2, 1, 3), CountOutcome::Held);
     let verdict = suspects.verdict(START + SECOND * 3, mark(1));
     assert_eq!(verdict, SendVerdict::Held(FIRST_HOLD - SECOND));
-    assert_eq!(suspects.verdict(START + SECOND * 3, mark(2)), SendVerdict::Free);
+    assert_eq!(suspects.verdict(START + SECOND * 3, mark(2)), SendVerdict::Allowed);
 }
 
 #[test]
 fn a_servers_end_counts_once_however_often_it_is_told() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     end(&mut suspects, START, 1, 1);
     for n in 0..10 {
-        assert_eq!(end(&mut suspects, START + SECOND * n, 1, 1), Counted::Known);
+        assert_eq!(end(&mut suspects, START + SECOND * n, 1, 1), CountOutcome::Known);
     }
     assert_eq!(suspects.ends(mark(1)), 1);
 }
@@ -65,38 +65,38 @@
 /// wakes, as if that had just been, and then again with its true age.
 #[test]
 fn an_end_that_was_heard_late_counts_from_when_it_was() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     end(&mut suspects, START, 1, 1);
     let woken = START + SECOND * 5;
     let told = |at: Time, life: u32| ServerEnd { life, at };
     suspects.count(woken, mark(1), told(woken, 2));
     let own = woken + Duration::from_millis(50);
-    assert_eq!(suspects.count(own, mark(1), told(own, 3)), Counted::Ends(2));
+    assert_eq!(suspects.count(own, mark(1), told(own, 3)), CountOutcome::Ends(2));
     let again = suspects.count(own, mark(1), told(START + SECOND * 2, 2));
-    assert_eq!(again, Counted::Held);
+    assert_eq!(again, CountOutcome::Held);
 }
 
 /// A data hall is lost with three tries of the same request at its servers.
 #[test]
 fn servers_that_end_together_count_once() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for life in 0..12 {
         let at = START + Duration::from_millis(u64::from(life) * 5);
         end(&mut suspects, at, 1, life);
     }
     assert_eq!(suspects.ends(mark(1)), 1);
-    assert_eq!(suspects.verdict(START + SECOND, mark(1)), SendVerdict::Free);
+    assert_eq!(suspects.verdict(START + SECOND, mark(1)), SendVerdict::Allowed);
 }
 
 #[test]
 fn a_request_that_is_served_between_ends_is_not_held_back() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for n in 0..20 {
         end(&mut suspects, START + SECOND * n, 1, n);
         end(&mut suspects, START + SECOND * n + SECOND / 2, 1, 100 + n);
         suspects.clear(mark(1));
         let now = START + SECOND * (n + 1);
-        assert_eq!(suspects.verdict(now, mark(1)), SendVerdict::Free);
+        assert_eq!(suspects.verdict(now, mark(1)), SendVerdict::Allowed);
     }
     assert!(suspects.is_empty());
 }
@@ -107,14 +107,14 @@
     suspects.recorded(HELD_AT, mark(1), 1, 77);
     let cleared = suspects.clear(mark(1)).expect("it was held back");
     assert_eq!((cleared.was_held, cleared.revision), (true, Some(77)));
-    assert_eq!(suspects.verdict(HELD_AT, mark(1)), SendVerdict::Free);
+    assert_eq!(suspects.verdict(HELD_AT, mark(1)), SendVerdict::Allowed);
 }
 
 #[test]
 fn ends_that_are_long_ago_do_not_add_up() {
-    let mut suspects = Suspects::default();
+    let mut suspects = SuspectRequests::default();
     for n in 0..10 {
-        assert_ne!(end(&mut suspects, START + MINUTE * 6 * n, 1, n), Counted::Held);
+        assert_ne!(end(&mut suspects, START + MINUTE * 6 * n, 1, n), CountOutcome::Held);
     }
     suspects.sweep(START + MINUTE * 100);
     assert!(suspects.is_empty());
@@ -244,7 +244,7 @@
     /// Held back exactly if three events of the last ten minutes have had no answer since.
     #[test]
     fn a_request_is_held_back_exactly_if_three_ends_had_no_answer_between(steps in steps()) {
-        let mut suspects = Suspects::default();
+        let mut suspects = SuspectRequests::default();
         let mut models = vec![Model::default(); 3];
         let mut now = START;
         for step in steps {
@@ -260,7 +260,7 @@
                 Step::Pass { millis } => now = now + Duration::from_millis(millis),
             }
             for (body, model) in models.iter().enumerate() {
-                let free = suspects.verdict(now, mark(body as u32)) == SendVerdict::Free;
+                let free = suspects.verdict(now, mark(body as u32)) == SendVerdict::Allowed;
                 prop_assert_eq!(free, model.held_at.is_none());
             }
         }
--- a/crates/portrack/tests/gateway/vacancies.rs
+++ b/crates/portrack/tests/gateway/vacancies.rs
@@ -2,8 +2,8 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    Candidates, ClaimRecord, ClaimRecords, ClaimTry, Claimant, Mirrored, Predecessor, SeenRecord,
-    Vacancies,
+    Candidates, ClaimAttempt, ClaimRecord, ClaimRecords, Claimant, Mirrored, Predecessor,
+    SeenRecord, UnclaimedServers,
 };
 use portrack::store::KvHeld;
 use std::rc::Rc;
@@ -27,13 +27,13 @@
 /// A server that is vacant from second 1 on, and what the store says of it.
 #[derive(Default)]
 struct Vacant {
-    vacancies: Vacancies,
+    vacancies: UnclaimedServers,
     records: ClaimRecords,
 }
 
 impl Vacant {
-    fn saw(&mut self, server: &str, seen: Option<SeenRecord>) {
-        self.records.saw(server, seen);
+    fn observe(&mut self, server: &str, seen: Option<SeenRecord>) {
+        self.records.observe(server, seen);
     }
 
     fn update(&mut self, now: Time, vacant: &[Rc<str>]) {
@@ -46,12 +46,12 @@
         me: Claimant<'_>,
         candidates: impl Fn(&str) -> Candidates,
         is_heard: impl Fn(&str) -> bool,
-    ) -> Vec<ClaimTry> {
+    ) -> Vec<ClaimAttempt> {
         self.vacancies.due(now, me, &self.records, candidates, is_heard)
     }
 }
 
-fn due(vacant: &mut Vacant, now: u64, able: &[&str], heard: &str) -> Vec<ClaimTry> {
+fn due(vacant: &mut Vacant, now: u64, able: &[&str], heard: &str) -> Vec<ClaimAttempt> {
     vacant.due(Time(now), claimant(0), |_| near(able), |machine| machine == heard)
 }
 
@@ -86,7 +86,7 @@
 #[test]
 fn a_restarted_machine_takes_its_own_server_back_at_once() {
     let mut vacancies = vacant();
-    vacancies.saw("s1", seen(MACHINE, true, false));
+    vacancies.observe("s1", seen(MACHINE, true, false));
     let tries = due(&mut vacancies, 1_150, &["n0", "n2", "n3", ME], "");
     let [attempt] = &tries[..] else { panic!("one try") };
     assert_eq!((attempt.revision, attempt.before), (9, Predecessor::None));
@@ -95,7 +95,7 @@
 #[test]
 fn its_own_record_that_never_settled_still_has_to_be_waited_for() {
     let mut vacancies = vacant();
-    vacancies.saw("s1", seen(MACHINE, false, false));
+    vacancies.observe("s1", seen(MACHINE, false, false));
     let tries = due(&mut vacancies, 1_150, &[ME], "");
     assert_eq!(tries[0].before, Predecessor::Lapsed);
 }
@@ -103,7 +103,7 @@
 #[test]
 fn another_machines_server_is_left_to_it_for_a_while_and_while_it_is_heard() {
     let mut vacancies = vacant();
-    vacancies.saw("s1", seen("n2|10.0.0.2:7000", true, false));
+    vacancies.observe("s1", seen("n2|10.0.0.2:7000", true, false));
     assert!(due(&mut vacancies, 3_000, &[ME], "").is_empty());
     assert!(due(&mut vacancies, 9_000, &[ME], "n2|10.0.0.2:7000").is_empty(), "it is heard");
     let tries = due(&mut vacancies, 9_000, &[ME], "");
@@ -118,7 +118,7 @@
 #[test]
 fn a_resigned_machine_hands_on_the_wait_for_the_one_before_it() {
     let mut vacancies = vacant();
-    vacancies.saw("s1", seen("n2|10.0.0.2:7000", false, true));
+    vacancies.observe("s1", seen("n2|10.0.0.2:7000", false, true));
     let tries = due(&mut vacancies, 9_000, &[ME], "n2|10.0.0.2:7000");
     assert_eq!((tries[0].before, tries[0].gone.as_ref()), (Predecessor::Lapsed, None));
 }
@@ -126,7 +126,7 @@
 #[test]
 fn a_resigned_machine_is_not_waited_for_as_long() {
     let mut vacancies = vacant();
-    vacancies.saw("s1", seen("n2|10.0.0.2:7000", true, true));
+    vacancies.observe("s1", seen("n2|10.0.0.2:7000", true, true));
     let tries = due(&mut vacancies, 9_000, &[ME], "n2|10.0.0.2:7000");
     assert_eq!(tries[0].before, Predecessor::Resigned);
     assert_eq!(tries[0].gone, None);
@@ -175,7 +175,7 @@
 #[test]
 fn a_restarted_machine_that_has_read_the_records_needs_no_try_to_learn_them() {
     let mut vacancies = Vacant::default();
-    vacancies.saw("s1", seen(MACHINE, true, false));
+    vacancies.observe("s1", seen(MACHINE, true, false));
     vacancies.update(Time(1_000), &names(&["s1"]));
     let tries = vacancies.due(Time(1_150), claimant(9), |_| near(&["n0", "n2", ME]), |_| false);
     let [attempt] = &tries[..] else { panic!("one try") };
@@ -230,7 +230,7 @@
 #[test]
 fn an_older_record_from_a_late_watch_replaces_no_newer_one() {
     let mut records = ClaimRecords::default();
-    records.saw("s1", seen(MACHINE, true, false));
+    records.observe("s1", seen(MACHINE, true, false));
     let older = ClaimRecord {
         machine: "n2|x".into(),
         settled: true,
@@ -245,6 +245,6 @@
 fn a_machine_that_has_resigned_holds_nothing() {
     let mut records = ClaimRecords::default();
     records.apply(&put(&ClaimRecord::live_key(MACHINE), 3, Vec::new()));
-    records.saw("s1", seen(MACHINE, true, true));
+    records.observe("s1", seen(MACHINE, true, true));
     assert_eq!(records.holder("s1"), None);
 }
