--- a/crates/portrack/src/daemon/sync.rs
+++ b/crates/portrack/src/daemon/sync.rs
@@ -5,7 +5,7 @@
 use crate::membership::Member;
 use crate::node::Input;
 use crate::settings::{Applied, decode};
-use crate::store::KvHeld;
+use crate::store::KvEntry;
 use crate::types::NodeName;
 use crate::wire::FetchEntry;
 use rand::Rng;
@@ -177,7 +177,7 @@
     }
 }
 
-fn to_entries(prefix: &str, held: Vec<KvHeld>) -> Vec<FetchEntry> {
+fn to_entries(prefix: &str, held: Vec<KvEntry>) -> Vec<FetchEntry> {
     let entries = held.into_iter().filter_map(|held| {
         let key = held.key.strip_prefix(prefix)?.to_owned();
         Some(FetchEntry { key, revision: held.revision, value: held.value })
--- a/crates/portrack/src/gateway/daemon.rs
+++ b/crates/portrack/src/gateway/daemon.rs
@@ -17,12 +17,6 @@
 use crate::gateway::fleet::peers::Peers;
 use crate::gateway::fleet::view::{FleetView, ViewChange};
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::news::age::NewsAge;
-use crate::gateway::news::bounds::NewsBounds;
-use crate::gateway::news::course::{NewsCourse, Surroundings};
-use crate::gateway::news::era::EraClock;
-use crate::gateway::news::hall_feed::HallFeed;
-use crate::gateway::news::mirror::{Mirror, Mirrored};
 use crate::gateway::orders::claim_holders::ClaimHolders;
 use crate::gateway::orders::claim_records::ClaimRecords;
 use crate::gateway::orders::claims::Claims;
@@ -34,7 +28,13 @@
 use crate::gateway::requests::path::RequestPath;
 use crate::gateway::requests::retries::{RetryBounds, ServiceRetries};
 use crate::gateway::settings::GatewaySettings;
-use crate::store::{CountedStore, KvFeed, StoreEra};
+use crate::gateway::store_sync::era::EraTracker;
+use crate::gateway::store_sync::follower_feed::FollowerFeed;
+use crate::gateway::store_sync::mirror::{Mirror, MirrorChange};
+use crate::gateway::store_sync::source_selector::{PeerTopology, SourceSelector};
+use crate::gateway::store_sync::staleness::Staleness;
+use crate::gateway::store_sync::timings::SyncTimings;
+use crate::store::{CountedStore, KvStore, StoreEra};
 use crate::types::{Clock, Time};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -51,13 +51,13 @@
     /// The platform's messages.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
-    pub store: Rc<dyn KvFeed>,
+    pub store: Rc<dyn KvStore>,
     /// The path of requests.
     pub path: RequestPath,
     /// The copy of the store.
     pub mirror: RefCell<Mirror>,
     /// The store's era.
-    pub(super) eras: RefCell<EraClock>,
+    pub(super) eras: RefCell<EraTracker>,
     /// The era in which another daemon was asked what it believes against the store's copy.
     pub(super) kept_asked: Cell<StoreEra>,
     /// What the last peer told of a new era did not fit: everything is asked for next.
@@ -85,15 +85,15 @@
     /// This daemon watches the store itself.
     pub watches: Cell<bool>,
     /// From whom it learns what changes in the store.
-    pub(super) course: RefCell<NewsCourse>,
+    pub(super) course: RefCell<SourceSelector>,
     /// The other daemons as this one saw them at its last heartbeat.
-    pub(super) around: RefCell<Rc<Surroundings>>,
+    pub(super) around: RefCell<Rc<PeerTopology>>,
     /// The last look found news that is old.
     pub(super) news_old: Cell<bool>,
     /// The last look found no proof that keys may be believed in.
     pub(super) proof_lost: Cell<bool>,
     /// What it passes on to its followers.
-    pub(super) feed: HallFeed,
+    pub(super) feed: FollowerFeed,
     /// Woken when other daemons are heard again after this one was cut off.
     pub(super) reconnected: Notify,
     /// Servers that nobody orders.
@@ -132,7 +132,7 @@
         settings: GatewaySettings,
         clock: Rc<dyn Clock>,
         dialect: Rc<dyn Dialect>,
-        store: Rc<dyn KvFeed>,
+        store: Rc<dyn KvStore>,
         socket: UdpSocket,
         incarnation: Incarnation,
     ) -> Self {
@@ -174,7 +174,7 @@
             incarnation.clone(),
             bounds.quota_slack,
         );
-        let course = NewsCourse::new(settings.members, NewsBounds::new(bounds.news_within()));
+        let course = SourceSelector::new(settings.members, SyncTimings::new(bounds.news_within()));
         let loads = Rc::new(LoadTable::default());
         let (proof, coldness) = (Rc::<StoreProof>::default(), Rc::<RefCell<_>>::default());
         let backpressure = Rc::new(Backpressure::new(BackpressureParts {
@@ -294,7 +294,7 @@
             around: RefCell::default(),
             news_old: Cell::new(false),
             proof_lost: Cell::new(false),
-            feed: HallFeed::default(),
+            feed: FollowerFeed::default(),
             reconnected: Notify::new(),
             unclaimed_servers: RefCell::default(),
             started_at,
@@ -327,19 +327,19 @@
 
     /// How old the proof is that the configuration is the newest, in milliseconds; -1 for none.
     pub fn proof_age_ms(&self) -> i64 {
-        self.news_age().millis()
+        self.staleness().millis()
     }
 
     /// How old what this daemon knows of the store may be.
-    pub fn news_age(&self) -> NewsAge {
-        self.path.news_age()
+    pub fn staleness(&self) -> Staleness {
+        self.path.staleness()
     }
 
     /// Takes changes of the mirror in; `source` is for logs.
-    pub fn apply(self: &Rc<Self>, changes: Vec<Mirrored>, source: &str) {
-        self.note_era();
+    pub fn apply(self: &Rc<Self>, changes: Vec<MirrorChange>, source: &str) {
+        self.update_era();
         let now = self.now();
-        let learned_at = self.news_learned_at(now);
+        let learned_at = self.update_learned_at(now);
         let mut changed = false;
         for change in changes {
             self.note_claim(&change);
@@ -347,8 +347,8 @@
                 continue;
             }
             let key = match &change {
-                Mirrored::Put(held) => held.key.clone(),
-                Mirrored::Gone(key) => key.clone(),
+                MirrorChange::Put(held) => held.key.clone(),
+                MirrorChange::Removed(key) => key.clone(),
             };
             let applied = self.path.view.borrow_mut().apply(learned_at, &*self.dialect, change);
             match applied {
--- a/crates/portrack/src/gateway/fleet/heartbeats.rs
+++ b/crates/portrack/src/gateway/fleet/heartbeats.rs
@@ -65,7 +65,7 @@
     /// Sends one heartbeat to the peers whose turn it is.
     pub fn beat(&self) {
         let now = self.now();
-        self.look_around();
+        self.refresh_topology();
         let heartbeat = self.heartbeat();
         let targets = self.peers.borrow_mut().targets(now);
         // To other regions requests at servers would come too seldom to count; orderers tell loads there.
@@ -140,7 +140,7 @@
             known: self.peers.borrow().known(now),
             capacity: self.settings.limits.capacity(),
             heard: u16::try_from(self.peers.borrow().up(now).count()).unwrap_or(u16::MAX),
-            news: std::iter::once(self.own_news()).chain(self.news_of_others()).collect(),
+            news: std::iter::once(self.own_sync_report()).chain(self.peer_sync_reports()).collect(),
             capabilities: Capabilities::OWN,
             store: self.eras.borrow().report(now, self.mirror.borrow().kept()),
         }
@@ -169,7 +169,7 @@
         let change = self.peers.borrow_mut().heard(now, heartbeat);
         if matches!(change, Some(PeerChange::Up | PeerChange::Leaving)) {
             // One that has just started is to follow as soon as it hears of others.
-            self.look_around();
+            self.refresh_topology();
         }
         self.introduce_to(now, address, heard);
         if change == Some(PeerChange::Up) {
--- a/crates/portrack/src/gateway/fleet/message.rs
+++ b/crates/portrack/src/gateway/fleet/message.rs
@@ -6,9 +6,9 @@
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::choosing::load::Work;
 use crate::gateway::dispatch::SlotMessage;
-use crate::gateway::news::era::EraReport;
-use crate::gateway::news::report::NewsReport;
 use crate::gateway::quarantine::message::QuarantineMessage;
+use crate::gateway::store_sync::era::EraReport;
+use crate::gateway::store_sync::report::SyncReport;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -99,7 +99,7 @@
     /// How much work for others its node is suited to, compared with others.
     pub capacity: u32,
     /// How fresh its news of the store is, and then that of some others that watch.
-    pub news: Vec<NewsReport>,
+    pub news: Vec<SyncReport>,
     /// What it does for others beyond what every build does.
     #[serde(deserialize_with = "or_default")]
     pub capabilities: Capabilities,
--- a/crates/portrack/src/gateway/fleet/peers.rs
+++ b/crates/portrack/src/gateway/fleet/peers.rs
@@ -3,7 +3,7 @@
 use super::message::Heartbeat;
 use super::regions::Regions;
 use crate::gateway::choosing::load::server_mark;
-use crate::gateway::news::era::EraClock;
+use crate::gateway::store_sync::era::EraTracker;
 use crate::membership::ranked;
 use crate::store::{StoreEra, StorePosition};
 use crate::types::Time;
@@ -481,10 +481,15 @@
 
     /// A daemon that knows more of the store than this one, which is in `eras` at `revision`: the one that knows
     /// most.
-    pub fn better_informed(&self, now: Time, eras: &EraClock, revision: u64) -> Option<SocketAddr> {
+    pub fn better_informed(
+        &self,
+        now: Time,
+        eras: &EraTracker,
+        revision: u64,
+    ) -> Option<SocketAddr> {
         let mine = StorePosition::new(eras.era(), revision);
         let known = self.up(now).filter_map(|(_, peer)| {
-            let era = eras.of_news(peer.heartbeat.store.era)?;
+            let era = eras.resolve_peer_era(peer.heartbeat.store.era)?;
             Some((StorePosition::new(era, peer.heartbeat.revision), peer.heartbeat.address))
         });
         known.filter(|(position, _)| *position > mine).max().map(|(_, address)| address)
--- a/crates/portrack/src/gateway/fleet/view.rs
+++ b/crates/portrack/src/gateway/fleet/view.rs
@@ -8,8 +8,8 @@
 use crate::gateway::choosing::holdings::Holdings;
 use crate::gateway::dialect::{AdapterKey, Dialect, DialectError, Item, ItemKey};
 use crate::gateway::evacuation::halls::{EvacuatedHalls, Evacuation};
-use crate::gateway::news::mirror::Mirrored;
 use crate::gateway::requests::routes::RouteTable;
+use crate::gateway::store_sync::mirror::MirrorChange;
 use crate::types::Time;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -172,11 +172,11 @@
         &mut self,
         learned_at: Option<Time>,
         dialect: &dyn Dialect,
-        change: Mirrored,
+        change: MirrorChange,
     ) -> Result<Vec<ViewChange>, DialectError> {
         let held = match change {
-            Mirrored::Put(held) => held,
-            Mirrored::Gone(key) => return Ok(self.apply_gone(dialect.key(&key))),
+            MirrorChange::Put(held) => held,
+            MirrorChange::Removed(key) => return Ok(self.apply_gone(dialect.key(&key))),
         };
         match dialect.item(&held.key, &held.value) {
             Ok(Some(Item::Config(config))) => Ok(self.apply_config(*config)),
--- a/crates/portrack/src/gateway/mod.rs
+++ b/crates/portrack/src/gateway/mod.rs
@@ -14,13 +14,13 @@
 mod hex;
 mod logging;
 mod metrics;
-mod news;
 mod orders;
 mod quarantine;
 mod regions;
 mod requests;
 mod run;
 mod settings;
+mod store_sync;
 
 pub use admission::{
     Admitted, BlindShare, Charge, Credential, KeyDigest, KeyRules, Ledger, Organisation,
@@ -84,17 +84,6 @@
 pub use fleet::view::{FIRST_VERSION, FleetView, ViewChange};
 pub use logging::{LogSink, log_field};
 pub use metrics::GatewayMetrics;
-pub use news::age::NewsAge;
-pub use news::bounds::NewsBounds;
-pub use news::course::{Distance, NewsCourse, NewsSource, SourceLost, Surroundings};
-pub use news::differences::{KEPT_FOR, keeps};
-pub use news::era::{EraChange, EraClock, EraReport};
-pub use news::evidence::{Evidence, EvidenceTable};
-pub use news::kept::{Difference, Keeps, KeptItem};
-pub use news::mirror::{Mirror, MirrorItem, MirrorNews, Mirrored};
-pub use news::pacing::WatchPacing;
-pub use news::report::{NewsReport, Standing};
-pub use news::step::EraStep;
 pub use orders::claim_holders::ClaimHolders;
 pub use orders::claim_record::{ClaimKey, ClaimRecord, RecordEras};
 pub use orders::claim_records::{ClaimRecords, SeenRecord};
@@ -131,3 +120,16 @@
 pub use requests::timings::Timings;
 pub use run::{GatewayError, RunningGateway, start_gateway};
 pub use settings::{Bounds, GatewaySettings, NodeLimits};
+pub use store_sync::era::{EraChange, EraReport, EraTracker};
+pub use store_sync::era_delta::EraDelta;
+pub use store_sync::mirror::{Mirror, MirrorChange, MirrorItem, MirrorUpdate};
+pub use store_sync::pacing::WatchPacing;
+pub use store_sync::peer_freshness::{PeerFreshness, PeerFreshnessTable};
+pub use store_sync::report::{SyncReport, SyncState};
+pub use store_sync::retained::{RestoreConflict, RetainFn, RetainedItem};
+pub use store_sync::retention::{RETENTION_PERIOD, should_retain};
+pub use store_sync::source_selector::{
+    Distance, PeerTopology, SourceFailure, SourceSelector, SyncSource,
+};
+pub use store_sync::staleness::Staleness;
+pub use store_sync::timings::SyncTimings;
--- a/crates/portrack/src/gateway/orders/claim_records.rs
+++ b/crates/portrack/src/gateway/orders/claim_records.rs
@@ -2,8 +2,8 @@
 //! follows anyway, so that nobody has to try a claim to learn that a server is taken.
 
 use super::claim_record::{ClaimKey, ClaimRecord, RecordEras};
-use crate::gateway::news::mirror::{MirrorItem, Mirrored};
-use crate::store::KvHeld;
+use crate::gateway::store_sync::mirror::{MirrorChange, MirrorItem};
+use crate::store::KvEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -29,7 +29,7 @@
         let mut records = Self::default();
         for MirrorItem { key, revision, value } in items {
             if let Some(value) = value {
-                records.apply(&Mirrored::Put(KvHeld { key, revision, value }));
+                records.apply(&MirrorChange::Put(KvEntry { key, revision, value }));
             }
         }
         records
@@ -38,7 +38,7 @@
     /// The latest era in which a record was written, and the earliest that records tell of; none if none tells one.
     pub fn eras(&self) -> RecordEras {
         let eras = self.records.values().map(|seen| seen.record.eras);
-        let told: Vec<RecordEras> = eras.filter(|eras| eras.written.is_told()).collect();
+        let told: Vec<RecordEras> = eras.filter(|eras| eras.written.is_known()).collect();
         RecordEras {
             written: told.iter().map(|eras| eras.written).max().unwrap_or_default(),
             first: told.iter().map(|eras| eras.first).min().unwrap_or_default(),
@@ -46,25 +46,27 @@
     }
 
     /// Applies a change of the store if it concerns claims; false if it does not.
-    pub fn apply(&mut self, change: &Mirrored) -> bool {
+    pub fn apply(&mut self, change: &MirrorChange) -> bool {
         let key = match change {
-            Mirrored::Put(held) => &held.key,
-            Mirrored::Gone(key) => key,
+            MirrorChange::Put(held) => &held.key,
+            MirrorChange::Removed(key) => key,
         };
         match (ClaimKey::parse(key), change) {
             (None, _) => return false,
-            (Some(ClaimKey::Live(machine)), Mirrored::Put(_)) => {
+            (Some(ClaimKey::Live(machine)), MirrorChange::Put(_)) => {
                 self.live.insert(machine.to_owned());
             }
-            (Some(ClaimKey::Live(machine)), Mirrored::Gone(_)) => {
+            (Some(ClaimKey::Live(machine)), MirrorChange::Removed(_)) => {
                 self.live.remove(machine);
             }
-            (Some(ClaimKey::Server(server)), Mirrored::Put(held)) => {
+            (Some(ClaimKey::Server(server)), MirrorChange::Put(held)) => {
                 let record = ClaimRecord::read(&held.value);
                 let revision = held.revision;
                 self.observe(server, record.map(|record| SeenRecord { revision, record }));
             }
-            (Some(ClaimKey::Server(server)), Mirrored::Gone(_)) => self.observe(server, None),
+            (Some(ClaimKey::Server(server)), MirrorChange::Removed(_)) => {
+                self.observe(server, None)
+            }
         }
         true
     }
--- a/crates/portrack/src/gateway/orders/claiming.rs
+++ b/crates/portrack/src/gateway/orders/claiming.rs
@@ -9,8 +9,8 @@
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::peers::Peers;
 use crate::gateway::fleet::view::FleetView;
-use crate::gateway::news::mirror::Mirrored;
-use crate::store::{KvError, KvHeld, KvOutcome, KvPut, KvTransaction};
+use crate::gateway::store_sync::mirror::MirrorChange;
+use crate::store::{KvEntry, KvError, KvOutcome, KvPut, KvTransaction};
 use crate::types::Time;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -58,8 +58,8 @@
     pub async fn claim_servers(self: Rc<Self>) {
         while !self.stopping() {
             actix_rt::time::sleep(LOOK).await;
-            self.note_era();
-            self.tell_claims_of_era();
+            self.update_era();
+            self.update_claim_era();
             // Records that were read in a former era say nothing of the store.
             if self.mirror.borrow().era() != self.eras.borrow().era() {
                 continue;
@@ -108,7 +108,7 @@
     async fn renew(self: Rc<Self>, lease: u64, sent_at: Time) {
         let answer = self.store.renew_lease(lease).await;
         // A lease of a former era is over, and its id may be another one's by now.
-        self.note_era();
+        self.update_era();
         match answer {
             Ok(true) => self.order_executor.claims.borrow_mut().renewed(lease, sent_at),
             Ok(false) => {
@@ -168,7 +168,7 @@
     }
 
     /// Drops the claims whose records have changed.
-    fn drop_changed(&self, claims: &[(Rc<str>, Claim)], held: &[crate::store::KvHeld]) {
+    fn drop_changed(&self, claims: &[(Rc<str>, Claim)], held: &[crate::store::KvEntry]) {
         for (server, claim) in claims {
             let key = ClaimRecord::key(server);
             let now_at = held.iter().find(|held| held.key == key).map(|held| held.revision);
@@ -295,8 +295,8 @@
 
     /// Drops this daemon's claim if a newer record names another machine: a write from before the store came back
     /// may be carried out after it.
-    pub(in crate::gateway) fn note_claim(&self, change: &Mirrored) {
-        let Mirrored::Put(held) = change else { return };
+    pub(in crate::gateway) fn note_claim(&self, change: &MirrorChange) {
+        let MirrorChange::Put(held) = change else { return };
         let Some(ClaimKey::Server(server)) = ClaimKey::parse(&held.key) else { return };
         let holder = ClaimRecord::read(&held.value).map(|record| record.machine);
         if holder.is_none_or(|holder| holder == self.machine()) {
@@ -307,7 +307,7 @@
         }
     }
 
-    fn claim_refused(&self, tries: &[ClaimAttempt], held: &[KvHeld]) {
+    fn claim_refused(&self, tries: &[ClaimAttempt], held: &[KvEntry]) {
         for attempt in tries {
             let key = ClaimRecord::key(&attempt.server);
             let live = attempt.gone.as_deref().map(ClaimRecord::live_key);
@@ -332,7 +332,7 @@
         }
     }
 
-    fn observe(&self, server: &str, held: Option<&KvHeld>) {
+    fn observe(&self, server: &str, held: Option<&KvEntry>) {
         let seen = held.and_then(|held| {
             let record = ClaimRecord::read(&held.value)?;
             Some(SeenRecord { revision: held.revision, record })
@@ -377,7 +377,7 @@
 
     /// Gives all servers up at the end of a stop, so that a successor need not wait for the lease.
     pub async fn resign(&self) {
-        self.note_era();
+        self.update_era();
         let now = self.now();
         let lease = self.order_executor.claims.borrow().lease(now);
         let claims: Vec<(Rc<str>, Claim)> = {
--- a/crates/portrack/src/gateway/quarantine/coordinator.rs
+++ b/crates/portrack/src/gateway/quarantine/coordinator.rs
@@ -12,7 +12,7 @@
 use crate::gateway::fleet::message::PeerMessage;
 use crate::gateway::fleet::messenger::Messenger;
 use crate::gateway::fleet::view::FleetView;
-use crate::store::KvFeed;
+use crate::store::KvStore;
 use crate::types::Clock;
 use prometheus::{IntCounter, IntGauge};
 use std::cell::RefCell;
@@ -40,7 +40,7 @@
     /// Connections to servers.
     pub pool: Rc<Pool>,
     /// The platform's store.
-    pub store: Rc<dyn KvFeed>,
+    pub store: Rc<dyn KvStore>,
     /// Everything counted.
     pub metrics: QuarantineMetrics,
 }
--- a/crates/portrack/src/gateway/quarantine/recording.rs
+++ b/crates/portrack/src/gateway/quarantine/recording.rs
@@ -4,8 +4,8 @@
 use super::fingerprint::RequestFingerprint;
 use super::record::HoldRecord;
 use super::suspect_requests::{SendVerdict, Trial, Unrecorded};
-use crate::gateway::news::kept::KeptItem;
-use crate::gateway::news::mirror::{MirrorItem, Mirrored};
+use crate::gateway::store_sync::mirror::{MirrorChange, MirrorItem};
+use crate::gateway::store_sync::retained::RetainedItem;
 use crate::store::KvPut;
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 impl Quarantine {
     /// Applies a change of the store if it concerns a request that is held back; false if it does not.
-    pub fn apply(&self, change: &Mirrored) -> bool {
+    pub fn apply(&self, change: &MirrorChange) -> bool {
         let (key, value) = match change {
-            Mirrored::Put(held) => (&held.key, Some(held)),
-            Mirrored::Gone(key) => (key, None),
+            MirrorChange::Put(held) => (&held.key, Some(held)),
+            MirrorChange::Removed(key) => (key, None),
         };
         let Some(mark) = HoldRecord::request(key) else { return false };
         let record = value.map(|held| (HoldRecord::read(&held.value), held.revision));
@@ -35,7 +35,7 @@
 
     /// The store came back from a copy that holds `items`, against some of which more is known: what it lacks is
     /// written again, and what was cleared since is removed again.
-    pub fn store_came_back(&self, items: &[MirrorItem], kept: &[KeptItem]) {
+    pub fn store_came_back(&self, items: &[MirrorItem], kept: &[RetainedItem]) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         state.store_came_back();
--- a/crates/portrack/src/gateway/run.rs
+++ b/crates/portrack/src/gateway/run.rs
@@ -3,10 +3,10 @@
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::Dialect;
 use crate::gateway::fleet::incarnation::Incarnation;
-use crate::gateway::news::age::NewsAge;
 use crate::gateway::settings::GatewaySettings;
+use crate::gateway::store_sync::staleness::Staleness;
 use crate::http::{Limits, plain, serve};
-use crate::store::KvFeed;
+use crate::store::KvStore;
 use crate::types::{Clock, Time};
 use actix_http::{Request, StatusCode};
 use actix_rt::net::TcpListener;
@@ -56,7 +56,7 @@
     mut settings: GatewaySettings,
     clock: Rc<dyn Clock>,
     dialect: Rc<dyn Dialect>,
-    store: Rc<dyn KvFeed>,
+    store: Rc<dyn KvStore>,
 ) -> Result<RunningGateway, GatewayError> {
     let (callers, bound) = listen("callers", settings.callers).await?;
     settings.callers = bound;
@@ -84,8 +84,8 @@
         }
     }));
     actix_rt::spawn(daemon.clone().follow_store());
-    actix_rt::spawn(daemon.clone().follow_peers());
-    actix_rt::spawn(daemon.clone().answer_peers(members));
+    actix_rt::spawn(daemon.clone().catch_up_from_peers());
+    actix_rt::spawn(daemon.clone().serve_peers(members));
     actix_rt::spawn(daemon.clone().report_loads());
     actix_rt::spawn(daemon.clone().log_peers());
     actix_rt::spawn(daemon.clone().receive());
@@ -164,7 +164,7 @@
             self.path.view.borrow_mut().holdings.forget_old(now);
             self.forget_limits();
             self.metrics.in_flight.set(self.in_flight.get() as i64);
-            self.look_at_proof();
+            self.check_proof();
         }
     }
 }
@@ -203,8 +203,8 @@
     }
 
     /// How old what the daemon knows of the store may be.
-    pub fn news_age(&self) -> NewsAge {
-        self.daemon.news_age()
+    pub fn staleness(&self) -> Staleness {
+        self.daemon.staleness()
     }
 
     /// Tells the daemon of another one.
--- a/crates/portrack/src/gateway/news/catching_up.rs
+++ b/crates/portrack/src/gateway/store_sync/catching_up.rs
@@ -1,10 +1,10 @@
 //! Learns from other daemons, once, what they know of the store, and answers those that ask.
 
+use super::era_delta::EraDelta;
+use super::follower_feed::PeerAsk;
 use super::frames::{read_frame, write_frame};
-use super::hall_feed::PeerAsk;
-use super::kept::KeptItem;
-use super::mirror::{MirrorItem, MirrorNews, Mirrored};
-use super::step::EraStep;
+use super::mirror::{MirrorChange, MirrorItem, MirrorUpdate};
+use super::retained::RetainedItem;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::fleet::coldness::PEER_NEWS;
 use crate::gateway::fleet::tail::or_default;
@@ -38,10 +38,10 @@
     era: StoreEra,
     /// Items that it believes against the store's copy.
     #[serde(deserialize_with = "or_default")]
-    kept: Vec<KeptItem>,
+    kept: Vec<RetainedItem>,
     /// How the asker comes into this era, if it is in the one before.
     #[serde(deserialize_with = "or_default")]
-    step: Option<EraStep>,
+    step: Option<EraDelta>,
 }
 
 /// What a peer told of the store.
@@ -55,15 +55,15 @@
     /// What changed, or everything.
     pub items: Vec<MirrorItem>,
     /// What it believes against the store's copy.
-    pub kept: Vec<KeptItem>,
+    pub kept: Vec<RetainedItem>,
     /// How to come into its era from the one before.
-    pub step: Option<EraStep>,
+    pub step: Option<EraDelta>,
 }
 
 /// What came of what a peer told.
 pub(in crate::gateway) enum PeerNews {
     /// It was taken in, and this has changed.
-    Taken(Vec<Mirrored>),
+    Taken(Vec<MirrorChange>),
     /// The peer is in a former era, which proves nothing.
     Former,
     /// The peer took this daemon to know something else. It is asked for everything next.
@@ -72,14 +72,14 @@
 
 impl GatewayDaemon {
     /// Catches up from peers while the store does not answer, for ever.
-    pub async fn follow_peers(self: Rc<Self>) {
+    pub async fn catch_up_from_peers(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(PEER_LOOK.min(self.news_bounds().answer())).await;
             self.set_news_bounds();
             self.look_at_news();
             self.end_keeping();
             self.ask_what_others_keep().await;
-            if self.news_age().is_within(self.news_bounds().calm()) {
+            if self.staleness().is_within(self.news_bounds().calm()) {
                 continue;
             }
             let now = self.now();
@@ -133,7 +133,7 @@
 
     /// Takes in what a peer knows of the store.
     pub(in crate::gateway) fn take_peer_items(&self, told: PeerItems) -> PeerNews {
-        let era = self.eras.borrow().of_news(told.era);
+        let era = self.eras.borrow().resolve_peer_era(told.era);
         let known = self.mirror.borrow().era();
         let Some(era) = era.filter(|era| *era >= known) else { return PeerNews::Former };
         let position = StorePosition::new(era, told.revision);
@@ -171,7 +171,7 @@
     }
 
     /// Answers peers that catch up, for ever.
-    pub async fn answer_peers(self: Rc<Self>, listener: TcpListener) {
+    pub async fn serve_peers(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 actix_rt::time::sleep(PAUSE).await;
@@ -190,7 +190,7 @@
                 let reply = {
                     let mirror = self.mirror.borrow();
                     let after = StorePosition::new(era, after);
-                    let MirrorNews { position, whole, items, step } = mirror.news_after(after);
+                    let MirrorUpdate { position, whole, items, step } = mirror.news_after(after);
                     let proof_age_ms = self.path.proof.age_to_tell(self.now());
                     let StorePosition { era, revision } = position;
                     let kept = mirror.kept_items();
--- a/crates/portrack/src/gateway/news/era.rs
+++ b/crates/portrack/src/gateway/store_sync/era.rs
@@ -36,7 +36,7 @@
 
 /// The era that this daemon is in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct EraClock {
+pub struct EraTracker {
     era: StoreEra,
     first: StoreEra,
     began_at: Option<Time>,
@@ -44,7 +44,7 @@
     saw_return: bool,
 }
 
-impl EraClock {
+impl EraTracker {
     /// The era.
     pub fn era(&self) -> StoreEra {
         self.era
@@ -62,7 +62,7 @@
             return None;
         }
         let before = std::mem::replace(&mut self.era, era);
-        if !before.is_told() {
+        if !before.is_known() {
             self.learn_first(era);
             return None;
         }
@@ -73,7 +73,7 @@
 
     /// Takes in an era that the store was in once.
     pub fn learn_first(&mut self, era: StoreEra) {
-        if era.is_told() && (!self.first.is_told() || era < self.first) {
+        if era.is_known() && (!self.first.is_known() || era < self.first) {
             self.first = era;
         }
     }
@@ -116,8 +116,8 @@
 
     /// The era of a peer's news. A build that does not tell it is taken to be in this daemon's, unless this one has
     /// seen the store come back: then it may be in a former one.
-    pub fn of_news(&self, told: StoreEra) -> Option<StoreEra> {
-        if told.is_told() {
+    pub fn resolve_peer_era(&self, told: StoreEra) -> Option<StoreEra> {
+        if told.is_known() {
             return Some(told);
         }
         (!self.saw_return).then_some(self.era)
--- a/crates/portrack/src/gateway/news/step.rs
+++ b/crates/portrack/src/gateway/store_sync/era_delta.rs
@@ -1,16 +1,16 @@
 //! How daemons that are still in the store's former era come into the next one without everything being sent.
 
-use super::kept::Keeps;
-use super::mirror::{Held, Mirror, MirrorItem, MirrorNews, Mirrored};
+use super::mirror::{Held, Mirror, MirrorChange, MirrorItem, MirrorUpdate};
+use super::retained::RetainFn;
 use crate::gateway::quarantine::record::HoldRecord;
-use crate::store::{KvHeld, KvList, StorePosition};
+use crate::store::{KvEntry, KvList, StorePosition};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a daemon at a position of the era before comes into this one without everything being sent: all that it
 /// knows holds, but for the items that are told and the keys that are gone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EraStep {
+pub struct EraDelta {
     /// The position at which that daemon is.
     pub from: StorePosition,
     /// Keys that it may know and that are gone.
@@ -40,7 +40,7 @@
 impl Mirror {
     /// What a new era's first reading leaves of this one; `None` if that may not be what others know.
     pub(super) fn remembered(&self, list: &KvList) -> Option<FormerEra> {
-        if !self.era.is_told() || self.kept > 0 {
+        if !self.era.is_known() || self.kept > 0 {
             return None;
         }
         let listed: BTreeMap<&str, &[u8]> =
@@ -66,7 +66,7 @@
     }
 
     /// What a daemon has to learn that is in the era before, at a position that this one has been at.
-    pub(super) fn news_of_step(&self, known: StorePosition) -> Option<MirrorNews> {
+    pub(super) fn news_of_step(&self, known: StorePosition) -> Option<MirrorUpdate> {
         let former = self.former.as_ref()?;
         let is_covered = known.era == former.position.era
             && (former.removals_from..=former.position.revision).contains(&known.revision);
@@ -92,18 +92,18 @@
                 None => gone.push(key.clone()),
             }
         }
-        let step = Some(EraStep { from: known, gone });
-        Some(MirrorNews { position: self.position(), whole: false, items, step })
+        let step = Some(EraDelta { from: known, gone });
+        Some(MirrorUpdate { position: self.position(), whole: false, items, step })
     }
 
     /// Comes into a newer era by what a peer told of it; `None` if that was not meant for what is known here.
     pub fn take_step(
         &mut self,
         position: StorePosition,
-        step: EraStep,
+        step: EraDelta,
         items: Vec<MirrorItem>,
-        keeps: Keeps<'_>,
-    ) -> Option<Vec<Mirrored>> {
+        keeps: RetainFn<'_>,
+    ) -> Option<Vec<MirrorChange>> {
         if self.position() != step.from || self.kept > 0 || position.era <= self.era {
             return None;
         }
@@ -113,11 +113,11 @@
         let known = self.items.iter().filter(|(key, _)| holds(key));
         // Where these were last changed is not told: before anything that comes now.
         let known = known.filter_map(|(key, held)| {
-            Some(KvHeld { key: key.clone(), revision: 1, value: held.value.clone()? })
+            Some(KvEntry { key: key.clone(), revision: 1, value: held.value.clone()? })
         });
-        let mut entries: Vec<KvHeld> = known.collect();
+        let mut entries: Vec<KvEntry> = known.collect();
         entries.extend(items.into_iter().filter_map(|item| {
-            Some(KvHeld { key: item.key, revision: item.revision, value: item.value? })
+            Some(KvEntry { key: item.key, revision: item.revision, value: item.value? })
         }));
         let StorePosition { era, revision } = position;
         Some(self.begin_era(KvList { era, revision, entries }, keeps))
--- a/crates/portrack/src/gateway/news/hall_feed.rs
+++ b/crates/portrack/src/gateway/store_sync/follower_feed.rs
@@ -3,10 +3,10 @@
 //! Every watch of the store is a call with a price: 195 nodes that each watched made 6,000 calls in
 //! 48 s. Two daemons of each hall watch; the others follow one of them over a connection.
 
-use super::kept::KeptItem;
+use super::era_delta::EraDelta;
 use super::mirror::MirrorItem;
-use super::report::NewsReport;
-use super::step::EraStep;
+use super::report::SyncReport;
+use super::retained::RetainedItem;
 use crate::gateway::fleet::message::{PlacementNotice, ServerLoad};
 use crate::gateway::fleet::tail::or_default;
 use crate::store::StoreEra;
@@ -77,7 +77,7 @@
     News(FeedFrame),
     /// The sender does not watch, or does not any more: what it says of itself, then who is known to
     /// watch. It is the last message.
-    Redirect(Vec<NewsReport>),
+    Redirect(Vec<SyncReport>),
 }
 
 /// News for a follower.
@@ -102,10 +102,10 @@
     pub era: StoreEra,
     /// Items that the sender believes against the store's copy, if they are news to the follower.
     #[serde(deserialize_with = "or_default")]
-    pub kept: Vec<KeptItem>,
+    pub kept: Vec<RetainedItem>,
     /// How the follower comes into this era, if it is in the one before.
     #[serde(deserialize_with = "or_default")]
-    pub step: Option<EraStep>,
+    pub step: Option<EraDelta>,
 }
 
 /// How far a follower has been told.
@@ -117,14 +117,14 @@
 
 /// Notices and loads for the followers of this daemon, each of which is told at its own pace.
 #[derive(Debug, Default)]
-pub(in crate::gateway) struct HallFeed {
+pub(in crate::gateway) struct FollowerFeed {
     notices: RefCell<VecDeque<PlacementNotice>>,
     notices_before: Cell<u64>,
     loads: RefCell<BTreeMap<u32, (u64, ServerLoad)>>,
     loads_told: Cell<u64>,
 }
 
-impl HallFeed {
+impl FollowerFeed {
     /// Where a new follower begins: it learns what is told from now on.
     pub fn end(&self) -> FeedPlace {
         let notice = self.notices_before.get() + self.notices.borrow().len() as u64;
--- a/crates/portrack/src/gateway/news/following.rs
+++ b/crates/portrack/src/gateway/store_sync/following.rs
@@ -1,15 +1,15 @@
 //! Connections over which daemons follow others that watch the store.
 
-use super::bounds::NewsBounds;
 use super::catching_up::{PeerItems, PeerNews};
-use super::course::{Distance, NewsSource, SourceLost, Surroundings};
-use super::frames::{FrameError, read_frame, write_frame};
-use super::hall_feed::{
+use super::follower_feed::{
     FeedFrame, FeedMessage, Freshness, FreshnessQuestion, HeardQuestion, PeerAsk,
 };
-use super::kept::KeptItem;
-use super::mirror::MirrorNews;
-use super::report::{NewsReport, Standing};
+use super::frames::{FrameError, read_frame, write_frame};
+use super::mirror::MirrorUpdate;
+use super::report::{SyncReport, SyncState};
+use super::retained::RetainedItem;
+use super::source_selector::{Distance, PeerTopology, SourceFailure, SyncSource};
+use super::timings::SyncTimings;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::fleet::message::PeerMessage;
 use crate::store::StorePosition;
@@ -45,17 +45,17 @@
     }
 
     /// The daemons that are up and stay, and which of them watch for whom.
-    pub(in crate::gateway) fn surroundings(&self) -> Rc<Surroundings> {
+    pub(in crate::gateway) fn surroundings(&self) -> Rc<PeerTopology> {
         self.around.borrow().clone()
     }
 
     /// Looks at them anew, with each heartbeat: 17 times a second it would cost a small node more.
-    pub(in crate::gateway) fn look_around(&self) {
+    pub(in crate::gateway) fn refresh_topology(&self) {
         let around = Rc::new(self.seen_around());
         self.around.replace(around);
     }
 
-    fn seen_around(&self) -> Surroundings {
+    fn seen_around(&self) -> PeerTopology {
         let (now, hall, regions) = (self.now(), &*self.settings.hall, self.settings.regions());
         let peers = self.peers.borrow();
         let distance = |other: &str| match (other == hall, regions.is_own(other)) {
@@ -71,14 +71,14 @@
             false => other == hall,
         };
         let group: &str = if is_small { regions.own() } else { hall };
-        Surroundings {
+        PeerTopology {
             group: peers.group_order(now, group, &self.settings.node, of_group),
             others: staying.iter().map(|(peer, hall)| (*peer, distance(hall))).collect(),
         }
     }
 
     /// From whom to learn now.
-    pub(in crate::gateway) fn news_source(&self) -> NewsSource {
+    pub(in crate::gateway) fn news_source(&self) -> SyncSource {
         let around = self.surroundings();
         let source = self.course.borrow_mut().decide(self.now(), &around, self.path.proof.moment());
         self.note_watching(false);
@@ -94,7 +94,7 @@
         }
         let message = PeerMessage::Heartbeat(self.heartbeat());
         let around = self.surroundings();
-        let Surroundings { group, others } = &*around;
+        let PeerTopology { group, others } = &*around;
         let others = others.iter().map(|(peer, _)| *peer).filter(|peer| !group.contains(peer));
         let far = if had_old_news { TOLD_AT_ONCE } else { 0 };
         for peer in group.iter().copied().chain(others.take(far)) {
@@ -105,8 +105,8 @@
     }
 
     /// What this daemon tells of its own news.
-    pub(in crate::gateway) fn own_news(&self) -> NewsReport {
-        NewsReport {
+    pub(in crate::gateway) fn own_sync_report(&self) -> SyncReport {
+        SyncReport {
             address: self.settings.members,
             incarnation: self.incarnation.number(),
             age_ms: self.path.proof.age_to_tell(self.now()),
@@ -115,11 +115,11 @@
     }
 
     /// What it tells of others' news.
-    pub(in crate::gateway) fn news_of_others(&self) -> Vec<NewsReport> {
+    pub(in crate::gateway) fn peer_sync_reports(&self) -> Vec<SyncReport> {
         self.course.borrow().to_tell(self.now(), &self.surroundings())
     }
 
-    pub(in crate::gateway) fn news_bounds(&self) -> NewsBounds {
+    pub(in crate::gateway) fn news_bounds(&self) -> SyncTimings {
         self.course.borrow().bounds()
     }
 
@@ -127,13 +127,13 @@
     pub(in crate::gateway) async fn follow_peer(self: &Rc<Self>, source: SocketAddr) {
         let why = self.read_feed(source).await;
         let lost = match why {
-            FeedEnd::NoConnection | FeedEnd::Silent => Some(SourceLost::Unreachable),
-            FeedEnd::Closed | FeedEnd::Redirected => Some(SourceLost::Ended),
+            FeedEnd::NoConnection | FeedEnd::Silent => Some(SourceFailure::Unreachable),
+            FeedEnd::Closed | FeedEnd::Redirected => Some(SourceFailure::Ended),
             FeedEnd::Better | FeedEnd::Unfit => None,
         };
         log::info!(
             feed:% = source, why:? = why, revision = self.mirror.borrow().revision(),
-            news_age_ms = self.news_age().millis();
+            news_age_ms = self.staleness().millis();
             "feed_left"
         );
         let Some(lost) = lost else { return };
@@ -165,7 +165,7 @@
                 };
                 // Also while frames keep coming: a feed that had always something to tell was never
                 // asked how fresh it is.
-                if self.news_source() != NewsSource::Peer(source) {
+                if self.news_source() != SyncSource::Peer(source) {
                     return FeedEnd::Better;
                 }
                 if self.now().since(question.sent_at) >= bounds.question() {
@@ -197,7 +197,7 @@
         }
     }
 
-    fn take_redirect(&self, source: SocketAddr, asked_at: Time, reports: &[NewsReport]) {
+    fn take_redirect(&self, source: SocketAddr, asked_at: Time, reports: &[SyncReport]) {
         log::info!(
             feed:% = source, watching:? = reports.iter().skip(1).map(|told| told.address).collect::<Vec<_>>();
             "feed_redirected"
@@ -230,8 +230,8 @@
         if let Some(Freshness { question, age_ms, incarnation }) = frame.freshness {
             let age = Duration::from_millis(age_ms.into());
             self.path.proof.renew_from(question.sent_at, age);
-            let (age_ms, standing) = (Some(age_ms), Standing::Watches);
-            let told = NewsReport { address: source, incarnation, age_ms, standing };
+            let (age_ms, standing) = (Some(age_ms), SyncState::Watches);
+            let told = SyncReport { address: source, incarnation, age_ms, standing };
             self.course.borrow_mut().redirected(now, question.sent_at, &[told]);
         }
         // Only now: how old the news can be is told by when the store was heard of before it.
@@ -268,7 +268,7 @@
         let mut told = after;
         let mut told_at: Option<Time> = None;
         let mut told_proof = None;
-        let mut told_kept: Vec<KeptItem> = Vec::new();
+        let mut told_kept: Vec<RetainedItem> = Vec::new();
         while self.watches.get() && !self.stopping() {
             let now = self.now();
             let (notices, loads) = self.feed.after(&mut place);
@@ -281,7 +281,8 @@
                 actix_rt::time::sleep(frame_every).await;
                 continue;
             }
-            let MirrorNews { position, whole, items, step } = self.mirror.borrow().news_after(told);
+            let MirrorUpdate { position, whole, items, step } =
+                self.mirror.borrow().news_after(told);
             let kept = self.kept_to_tell(&mut told_kept);
             let store_age_ms = self.store_age();
             let freshness = self.freshness(question.get());
@@ -304,13 +305,13 @@
             actix_rt::time::timeout(FRAME_TAKEN, writing).await.ok()??;
             actix_rt::time::sleep(frame_every).await;
         }
-        let reports = std::iter::once(self.own_news()).chain(self.news_of_others());
+        let reports = std::iter::once(self.own_sync_report()).chain(self.peer_sync_reports());
         let message = FeedMessage::Redirect(reports.collect());
         actix_rt::time::timeout(FRAME_TAKEN, write_frame(stream, &message)).await.ok()?
     }
 
     /// What is believed against the store's copy, if a follower has not been told that.
-    fn kept_to_tell(&self, told: &mut Vec<KeptItem>) -> Vec<KeptItem> {
+    fn kept_to_tell(&self, told: &mut Vec<RetainedItem>) -> Vec<RetainedItem> {
         let kept = self.mirror.borrow().kept_items();
         if kept == *told {
             return Vec::new();
--- a/crates/portrack/src/gateway/news/mirror.rs
+++ b/crates/portrack/src/gateway/store_sync/mirror.rs
@@ -1,8 +1,8 @@
 //! A copy of the followed part of the store, item by item; nothing in it goes back within an era of the store.
 
-use super::kept::{Against, Keeps};
-use super::step::{EraStep, FormerEra};
-use crate::store::{KvChange, KvHeld, KvList, StoreEra, StorePosition};
+use super::era_delta::{EraDelta, FormerEra};
+use super::retained::{Against, RetainFn};
+use crate::store::{KvChange, KvEntry, KvList, StoreEra, StorePosition};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,11 @@
 
 /// What a change did to the mirror.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Mirrored {
+pub enum MirrorChange {
     /// A key has a newer value.
-    Put(KvHeld),
+    Put(KvEntry),
     /// A key is gone.
-    Gone(String),
+    Removed(String),
 }
 
 /// One item as peers hand it on.
@@ -31,7 +31,7 @@
 
 /// What a daemon has to learn to know as much as this one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MirrorNews {
+pub struct MirrorUpdate {
     /// The position up to which it then knows everything.
     pub position: StorePosition,
     /// `items` are all there are: what is not among them is gone.
@@ -39,7 +39,7 @@
     /// Keys with their values.
     pub items: Vec<MirrorItem>,
     /// How a daemon that is in the era before comes into this one.
-    pub step: Option<EraStep>,
+    pub step: Option<EraDelta>,
 }
 
 /// What is known of a key.
@@ -103,18 +103,23 @@
     }
 
     /// Takes a change of an era in, if it is newer than what is held.
-    pub fn apply(&mut self, era: StoreEra, change: KvChange) -> Option<Mirrored> {
+    pub fn apply(&mut self, era: StoreEra, change: KvChange) -> Option<MirrorChange> {
         if era != self.era {
             return None;
         }
         let (key, revision, value) = match change {
             KvChange::Put(held) => (held.key, held.revision, Some(held.value)),
-            KvChange::Gone { key, revision } => (key, revision, None),
+            KvChange::Deleted { key, revision } => (key, revision, None),
         };
         self.replace(key, revision, value)
     }
 
-    fn replace(&mut self, key: String, revision: u64, value: Option<Vec<u8>>) -> Option<Mirrored> {
+    fn replace(
+        &mut self,
+        key: String,
+        revision: u64,
+        value: Option<Vec<u8>>,
+    ) -> Option<MirrorChange> {
         let before = self.items.get(&key);
         if before.is_some_and(|held| held.revision >= revision) {
             return None;
@@ -130,9 +135,9 @@
         let Some(value) = value else {
             self.removed += 1;
             self.forget_oldest_removed();
-            return was_there.then_some(Mirrored::Gone(key));
+            return was_there.then_some(MirrorChange::Removed(key));
         };
-        Some(Mirrored::Put(KvHeld { key, revision, value }))
+        Some(MirrorChange::Put(KvEntry { key, revision, value }))
     }
 
     fn forget_oldest_removed(&mut self) {
@@ -152,7 +157,12 @@
 
     /// Takes a whole reading of a prefix in: what it does not list is gone. One of a former era changes nothing;
     /// for one of a newer era `keeps` tells what is believed against it.
-    pub fn apply_all(&mut self, prefix: &str, list: KvList, keeps: Keeps<'_>) -> Vec<Mirrored> {
+    pub fn apply_all(
+        &mut self,
+        prefix: &str,
+        list: KvList,
+        keeps: RetainFn<'_>,
+    ) -> Vec<MirrorChange> {
         if list.era < self.era {
             return Vec::new();
         }
@@ -173,7 +183,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         self.removals_from.get_or_insert(list.revision);
-        let mut changed: Vec<Mirrored> =
+        let mut changed: Vec<MirrorChange> =
             gone.into_iter().filter_map(|key| self.replace(key, list.revision, None)).collect();
         let listed = list.entries.into_iter();
         changed.extend(listed.filter_map(|h| self.replace(h.key, h.revision, Some(h.value))));
@@ -182,14 +192,14 @@
 
     /// Takes in the first reading of an era. All that was known has no place in it: an item is as old as the store
     /// says from now on, also one that is believed against it.
-    pub(super) fn begin_era(&mut self, list: KvList, keeps: Keeps<'_>) -> Vec<Mirrored> {
+    pub(super) fn begin_era(&mut self, list: KvList, keeps: RetainFn<'_>) -> Vec<MirrorChange> {
         let former = std::mem::take(self);
         self.former = former.remembered(&list);
         self.era = list.era;
         self.revision = list.revision;
         self.removals_from = Some(list.revision);
         let mut changes = Vec::new();
-        let mut stored: BTreeMap<String, KvHeld> =
+        let mut stored: BTreeMap<String, KvEntry> =
             list.entries.into_iter().map(|held| (held.key.clone(), held)).collect();
         for (key, known) in former.items {
             let there = stored.remove(&key);
@@ -234,7 +244,7 @@
 
     /// What a daemon that knows everything up to a position has to learn. It gets everything if it knows another era,
     /// or may still believe in keys whose removal is not remembered here.
-    pub fn news_after(&self, known: StorePosition) -> MirrorNews {
+    pub fn news_after(&self, known: StorePosition) -> MirrorUpdate {
         let is_behind = self.removals_from.is_none_or(|from| known.revision < from);
         let whole = is_behind || known.era != self.era;
         if let Some(news) = self.news_of_step(known) {
@@ -244,7 +254,7 @@
         if whole {
             items.retain(|item| item.value.is_some());
         }
-        MirrorNews { position: self.position(), whole, items, step: None }
+        MirrorUpdate { position: self.position(), whole, items, step: None }
     }
 
     /// Applies a peer's items that are all there are under a prefix at a position.
@@ -253,10 +263,10 @@
         prefix: &str,
         position: StorePosition,
         items: Vec<MirrorItem>,
-        keeps: Keeps<'_>,
-    ) -> Vec<Mirrored> {
+        keeps: RetainFn<'_>,
+    ) -> Vec<MirrorChange> {
         let held = |item: MirrorItem| {
-            Some(KvHeld { key: item.key, revision: item.revision, value: item.value? })
+            Some(KvEntry { key: item.key, revision: item.revision, value: item.value? })
         };
         let entries = items.into_iter().filter_map(held).collect();
         let StorePosition { era, revision } = position;
@@ -264,7 +274,7 @@
     }
 
     /// Takes a peer's items of an era in.
-    pub fn apply_items(&mut self, era: StoreEra, items: Vec<MirrorItem>) -> Vec<Mirrored> {
+    pub fn apply_items(&mut self, era: StoreEra, items: Vec<MirrorItem>) -> Vec<MirrorChange> {
         if era != self.era {
             return Vec::new();
         }
--- a/crates/portrack/src/gateway/news/evidence.rs
+++ b/crates/portrack/src/gateway/store_sync/peer_freshness.rs
@@ -1,6 +1,6 @@
 //! What is known of how fresh other daemons' news is.
 
-use super::report::{NewsReport, Standing};
+use super::report::{SyncReport, SyncState};
 use crate::types::Time;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -14,47 +14,47 @@
 
 /// Evidence of one daemon's news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Evidence {
+pub struct PeerFreshness {
     /// Its life.
     pub incarnation: u64,
     /// A moment on this daemon's clock, in milliseconds, at which the store held nothing that the other
     /// one does not know.
     pub known_at: Option<i64>,
     /// Where it has its news from.
-    pub standing: Standing,
+    pub standing: SyncState,
     /// When this was heard.
     pub heard_at: Time,
 }
 
 /// Evidence of all daemons, by their addresses.
 #[derive(Debug, Clone, Default)]
-pub struct EvidenceTable(BTreeMap<SocketAddr, Evidence>);
+pub struct PeerFreshnessTable(BTreeMap<SocketAddr, PeerFreshness>);
 
 /// A moment on this daemon's clock that may be before its start.
 pub fn moment(time: Time) -> i64 {
     i64::try_from(time.0).unwrap_or(i64::MAX)
 }
 
-impl EvidenceTable {
+impl PeerFreshnessTable {
     /// Takes in what a daemon says of itself in a heartbeat.
-    pub fn heard(&mut self, now: Time, report: &NewsReport) {
+    pub fn heard(&mut self, now: Time, report: &SyncReport) {
         self.take(now, moment(now) - millis(WAY), report, true);
     }
 
     /// Takes in what a daemon says of another one in a heartbeat.
-    pub fn heard_of(&mut self, now: Time, report: &NewsReport) {
+    pub fn heard_of(&mut self, now: Time, report: &SyncReport) {
         self.take(now, moment(now) - millis(WAY), report, false);
     }
 
     /// Takes in what a daemon answered to a question that was sent at `asked_at`, of itself or of
     /// others: the answer may have been on its way for long.
-    pub fn answered(&mut self, now: Time, asked_at: Time, report: &NewsReport, of_itself: bool) {
+    pub fn answered(&mut self, now: Time, asked_at: Time, report: &SyncReport, of_itself: bool) {
         self.take(now, moment(asked_at), report, of_itself);
     }
 
-    fn take(&mut self, now: Time, told_at: i64, report: &NewsReport, of_itself: bool) {
+    fn take(&mut self, now: Time, told_at: i64, report: &SyncReport, of_itself: bool) {
         let known_at = report.age_ms.map(|age| told_at - i64::from(age));
-        let told = Evidence {
+        let told = PeerFreshness {
             incarnation: report.incarnation,
             known_at,
             standing: report.standing,
@@ -68,19 +68,19 @@
             Ordering::Less => {}
             Ordering::Greater => *held = told,
             Ordering::Equal if of_itself || known_at > held.known_at => {
-                *held = Evidence { known_at: known_at.max(held.known_at), ..told };
+                *held = PeerFreshness { known_at: known_at.max(held.known_at), ..told };
             }
             Ordering::Equal => {}
         }
     }
 
     /// What is known of a daemon.
-    pub fn of(&self, daemon: SocketAddr) -> Option<&Evidence> {
+    pub fn of(&self, daemon: SocketAddr) -> Option<&PeerFreshness> {
         self.0.get(&daemon)
     }
 
     /// All evidence.
-    pub fn all(&self) -> impl Iterator<Item = (SocketAddr, &Evidence)> {
+    pub fn all(&self) -> impl Iterator<Item = (SocketAddr, &PeerFreshness)> {
         self.0.iter().map(|(address, evidence)| (*address, evidence))
     }
 
--- a/crates/portrack/src/gateway/news/report.rs
+++ b/crates/portrack/src/gateway/store_sync/report.rs
@@ -5,7 +5,7 @@
 
 /// Where a daemon has its news from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum SyncState {
     /// From the store itself; others may follow it.
     Watches,
     /// From a daemon that watches.
@@ -18,7 +18,7 @@
 
 /// How fresh one daemon's news is, as the daemon itself or another one tells it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsReport {
+pub struct SyncReport {
     /// The daemon.
     pub address: SocketAddr,
     /// Its life: what was told of a former one says nothing of this one.
@@ -27,5 +27,5 @@
     /// was told; `None` if it can prove nothing.
     pub age_ms: Option<u32>,
     /// Where it has its news from.
-    pub standing: Standing,
+    pub standing: SyncState,
 }
--- a/crates/portrack/src/gateway/news/kept.rs
+++ b/crates/portrack/src/gateway/store_sync/retained.rs
@@ -1,12 +1,12 @@
 //! What is believed against the copy that the store came back from, until it is written again or given up.
 
-use super::mirror::{Held, Mirror, Mirrored};
-use crate::store::{KvHeld, StorePosition};
+use super::mirror::{Held, Mirror, MirrorChange};
+use crate::store::{KvEntry, StorePosition};
 use serde::{Deserialize, Serialize};
 
 /// An item that is believed against what the store holds, as peers hand it on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptItem {
+pub struct RetainedItem {
     /// The key.
     pub key: String,
     /// The revision of what the store holds, 0 for nothing.
@@ -21,7 +21,7 @@
 
 /// Two values of a key that differ after the store came back from a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Difference<'a> {
+pub struct RestoreConflict<'a> {
     /// The key.
     pub key: &'a str,
     /// What was known in the former era; `None` if it was known to be gone.
@@ -31,7 +31,7 @@
 }
 
 /// Tells whether what was known is believed for a while against what the store holds.
-pub type Keeps<'a> = &'a dyn Fn(Difference<'_>) -> bool;
+pub type RetainFn<'a> = &'a dyn Fn(RestoreConflict<'_>) -> bool;
 
 /// What the store holds, where something else is believed.
 #[derive(Debug, Clone)]
@@ -48,9 +48,9 @@
         key: String,
         known: Option<Vec<u8>>,
         learned: StorePosition,
-        there: Option<KvHeld>,
-        keeps: Keeps<'_>,
-    ) -> Option<Mirrored> {
+        there: Option<KvEntry>,
+        keeps: RetainFn<'_>,
+    ) -> Option<MirrorChange> {
         let (revision, stored) = match there {
             Some(held) => (held.revision, Some(held.value)),
             None => (0, None),
@@ -62,16 +62,16 @@
             return None;
         }
         let (was, is) = (known.as_deref(), stored.as_deref());
-        if learned.era.is_told() && keeps(Difference { key: &key, known: was, stored: is }) {
+        if learned.era.is_known() && keeps(RestoreConflict { key: &key, known: was, stored: is }) {
             self.keep(
                 key,
                 Held { revision, value: known, against: Some(Against { stored, learned }) },
             );
             return None;
         }
-        let Some(value) = stored else { return Some(Mirrored::Gone(key)) };
+        let Some(value) = stored else { return Some(MirrorChange::Removed(key)) };
         self.items.insert(key.clone(), Held::new(revision, Some(value.clone())));
-        Some(Mirrored::Put(KvHeld { key, revision, value }))
+        Some(MirrorChange::Put(KvEntry { key, revision, value }))
     }
 
     fn keep(&mut self, key: String, held: Held) {
@@ -81,7 +81,7 @@
     }
 
     /// Believes the store from now on where something else was believed against its copy.
-    pub fn believe_store(&mut self) -> Vec<Mirrored> {
+    pub fn believe_store(&mut self) -> Vec<MirrorChange> {
         let keys: Vec<String> = self
             .items
             .iter()
@@ -91,26 +91,26 @@
         keys.into_iter().filter_map(|key| self.give_up(key)).collect()
     }
 
-    fn give_up(&mut self, key: String) -> Option<Mirrored> {
+    fn give_up(&mut self, key: String) -> Option<MirrorChange> {
         let held = self.items.remove(&key)?;
         let stored = held.against.and_then(|against| against.stored);
         self.kept -= 1;
         self.removed -= usize::from(held.value.is_none());
-        let Some(value) = stored else { return Some(Mirrored::Gone(key)) };
+        let Some(value) = stored else { return Some(MirrorChange::Removed(key)) };
         let revision = held.revision;
         self.items.insert(key.clone(), Held::new(revision, Some(value.clone())));
-        Some(Mirrored::Put(KvHeld { key, revision, value }))
+        Some(MirrorChange::Put(KvEntry { key, revision, value }))
     }
 
     /// Items that are believed against the store's copy, for a peer.
-    pub fn kept_items(&self) -> Vec<KeptItem> {
+    pub fn kept_items(&self) -> Vec<RetainedItem> {
         // Asked for with each frame of a feed.
         if self.kept == 0 {
             return Vec::new();
         }
         let kept = self.items.iter().filter_map(|(key, held)| {
             let against = held.against.as_ref()?;
-            Some(KeptItem {
+            Some(RetainedItem {
                 key: key.clone(),
                 revision: held.revision,
                 stored: against.stored.clone(),
@@ -123,11 +123,11 @@
 
     /// Believes what a peer of the same era believes against the store's copy, where nothing was written since and
     /// nothing is known here.
-    pub fn adopt(&mut self, kept: Vec<KeptItem>) -> Vec<Mirrored> {
+    pub fn adopt(&mut self, kept: Vec<RetainedItem>) -> Vec<MirrorChange> {
         kept.into_iter().filter_map(|item| self.adopt_one(item)).collect()
     }
 
-    fn adopt_one(&mut self, item: KeptItem) -> Option<Mirrored> {
+    fn adopt_one(&mut self, item: RetainedItem) -> Option<MirrorChange> {
         let before = self.items.get(&item.key);
         let (revision, value) =
             before.map_or((0, None), |held| (held.revision, held.value.clone()));
@@ -135,12 +135,12 @@
         if is_own || revision != item.revision || value != item.stored {
             return None;
         }
-        let KeptItem { key, revision, stored, believed, learned } = item;
+        let RetainedItem { key, revision, stored, believed, learned } = item;
         let against = Some(Against { stored, learned });
         self.keep(key.clone(), Held { revision, value: believed.clone(), against });
         match believed {
-            Some(value) => Some(Mirrored::Put(KvHeld { key, revision, value })),
-            None => Some(Mirrored::Gone(key)),
+            Some(value) => Some(MirrorChange::Put(KvEntry { key, revision, value })),
+            None => Some(MirrorChange::Removed(key)),
         }
     }
 }
--- a/crates/portrack/src/gateway/news/differences.rs
+++ b/crates/portrack/src/gateway/store_sync/retention.rs
@@ -4,7 +4,7 @@
 //! that leaves it open, what is forbidden stays so, and what is known stays known until its writer has had the time to write it
 //! again.
 
-use super::kept::Difference;
+use super::retained::RestoreConflict;
 use crate::gateway::dialect::{Dialect, Item, ItemKey};
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::orders::claim_record::{ClaimKey, ClaimRecord};
@@ -14,11 +14,15 @@
 
 /// After the store came back, what is known is believed against its copy for so long at most. Operators and servers
 /// write again what was lost, servers with their next heartbeat, operators within some seconds.
-pub const KEPT_FOR: Duration = Duration::from_secs(10);
+pub const RETENTION_PERIOD: Duration = Duration::from_secs(10);
 
 /// Tells whether what was known before the store came back in `era` is believed against what it holds.
-pub fn keeps(dialect: &dyn Dialect, era: StoreEra, difference: Difference<'_>) -> bool {
-    let Difference { key, known, stored } = difference;
+pub fn should_retain(
+    dialect: &dyn Dialect,
+    era: StoreEra,
+    difference: RestoreConflict<'_>,
+) -> bool {
+    let RestoreConflict { key, known, stored } = difference;
     match ClaimKey::parse(key) {
         Some(ClaimKey::Server(_)) => return keeps_claim(era, known, stored),
         // Only the store can tell whose leases live.
--- a/crates/portrack/src/gateway/news/returning.rs
+++ b/crates/portrack/src/gateway/store_sync/returning.rs
@@ -1,10 +1,10 @@
 //! What a daemon does when the store has come back from an older copy.
 
-use super::differences::{KEPT_FOR, keeps};
 use super::era::EraChange;
-use super::kept::{Difference, KeptItem};
-use super::mirror::{Mirror, MirrorItem, Mirrored};
-use super::step::EraStep;
+use super::era_delta::EraDelta;
+use super::mirror::{Mirror, MirrorChange, MirrorItem};
+use super::retained::{RestoreConflict, RetainedItem};
+use super::retention::{RETENTION_PERIOD, should_retain};
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::orders::claim_records::ClaimRecords;
 use crate::store::{KvList, StoreEra, StorePosition};
@@ -15,18 +15,18 @@
 impl GatewayDaemon {
     /// Looks whether the store or another daemon has told of a new era. Then leases and conditions of the former one
     /// mean nothing any more.
-    pub(in crate::gateway) fn note_era(&self) {
+    pub(in crate::gateway) fn update_era(&self) {
         let now = self.now();
         let era = self.store.era().max(self.mirror.borrow().era());
         let change = self.eras.borrow_mut().learn(now, era);
         let Some(EraChange { before, era }) = change else { return };
         self.order_executor.claims.borrow_mut().store_came_back(now);
         self.metrics.store_returns.inc();
-        log::warn!(before:% = before, era:% = era, news_age_ms = self.news_age().millis(); "store_era_changed");
+        log::warn!(before:% = before, era:% = era, news_age_ms = self.staleness().millis(); "store_era_changed");
     }
 
     /// Tells claims when the era began, and on which fences they go on.
-    pub(in crate::gateway) fn tell_claims_of_era(&self) {
+    pub(in crate::gateway) fn update_claim_era(&self) {
         let told = self.records.borrow().eras();
         let mut eras = self.eras.borrow_mut();
         eras.learn_first(told.first);
@@ -38,7 +38,7 @@
     }
 
     /// Takes a whole reading of the store in.
-    pub(in crate::gateway) fn take_list(&self, list: KvList) -> Vec<Mirrored> {
+    pub(in crate::gateway) fn take_list(&self, list: KvList) -> Vec<MirrorChange> {
         let era = list.era;
         let prefix = self.dialect.prefix();
         self.change_mirror(|mirror| mirror.apply_all(prefix, list, &self.keeps_in(era)))
@@ -49,7 +49,7 @@
         &self,
         position: StorePosition,
         items: Vec<MirrorItem>,
-    ) -> Vec<Mirrored> {
+    ) -> Vec<MirrorChange> {
         let prefix = self.dialect.prefix();
         self.change_mirror(|mirror| {
             mirror.apply_whole(prefix, position, items, &self.keeps_in(position.era))
@@ -60,9 +60,9 @@
     pub(in crate::gateway) fn take_step(
         &self,
         position: StorePosition,
-        step: EraStep,
+        step: EraDelta,
         items: Vec<MirrorItem>,
-    ) -> Option<Vec<Mirrored>> {
+    ) -> Option<Vec<MirrorChange>> {
         let mut fits = true;
         let changes = self.change_mirror(|mirror| {
             let taken = mirror.take_step(position, step, items, &self.keeps_in(position.era));
@@ -73,27 +73,30 @@
     }
 
     /// What is believed against the first reading of an era.
-    fn keeps_in(&self, era: StoreEra) -> impl Fn(Difference<'_>) -> bool {
+    fn keeps_in(&self, era: StoreEra) -> impl Fn(RestoreConflict<'_>) -> bool {
         let dialect = self.dialect.clone();
-        move |difference| keeps(&*dialect, era, difference)
+        move |difference| should_retain(&*dialect, era, difference)
     }
 
     /// Changes the mirror, and sees to what follows if that brought it into a new era.
-    fn change_mirror(&self, change: impl FnOnce(&mut Mirror) -> Vec<Mirrored>) -> Vec<Mirrored> {
+    fn change_mirror(
+        &self,
+        change: impl FnOnce(&mut Mirror) -> Vec<MirrorChange>,
+    ) -> Vec<MirrorChange> {
         let before = self.mirror.borrow().position();
         let changes = change(&mut self.mirror.borrow_mut());
         let (now_at, kept) = (self.mirror.borrow().position(), self.mirror.borrow().kept());
         if now_at.era == before.era {
             return changes;
         }
-        self.note_era();
+        self.update_era();
         let items: Vec<MirrorItem> = self.mirror.borrow().all().collect();
         let kept_items = self.mirror.borrow().kept_items();
         self.path.quarantine.store_came_back(&items, &kept_items);
         self.records.replace(ClaimRecords::from_items(items.into_iter()));
         self.look_for_unseen_return();
-        if before.era.is_told() {
-            let (changed, for_ms) = (changes.len(), KEPT_FOR.as_millis() as u64);
+        if before.era.is_known() {
+            let (changed, for_ms) = (changes.len(), RETENTION_PERIOD.as_millis() as u64);
             log::warn!(before:% = before, now:% = now_at, changed, kept, for_ms; "store_came_back");
         }
         self.metrics.kept_items.set(kept as i64);
@@ -104,13 +107,13 @@
     fn look_for_unseen_return(&self) {
         let told = self.records.borrow().eras();
         let mut eras = self.eras.borrow_mut();
-        if told.written.is_told() && told.written < eras.era() {
+        if told.written.is_known() && told.written < eras.era() {
             eras.may_have_begun(self.now());
         }
     }
 
     /// Believes what a peer of the same era believes against the store's copy, as long as that may be right.
-    pub(in crate::gateway) fn adopt_kept(&self, kept: Vec<KeptItem>) -> Vec<Mirrored> {
+    pub(in crate::gateway) fn adopt_kept(&self, kept: Vec<RetainedItem>) -> Vec<MirrorChange> {
         if kept.is_empty() || !self.may_keep(self.now()) {
             return Vec::new();
         }
@@ -124,7 +127,7 @@
     }
 
     fn may_keep(&self, now: Time) -> bool {
-        self.eras.borrow().age(now).is_some_and(|age| age < KEPT_FOR)
+        self.eras.borrow().age(now).is_some_and(|age| age < RETENTION_PERIOD)
     }
 
     /// Believes the store again once its writers have had the time to write what was lost.
--- a/crates/portrack/src/gateway/news/course.rs
+++ b/crates/portrack/src/gateway/store_sync/source_selector.rs
@@ -1,8 +1,8 @@
 //! Decides from whom a daemon learns what changes in the store. A state machine without sockets.
 
-use super::bounds::NewsBounds;
-use super::evidence::{Evidence, EvidenceTable, millis, moment};
-use super::report::{NewsReport, Standing};
+use super::peer_freshness::{PeerFreshness, PeerFreshnessTable, millis, moment};
+use super::report::{SyncReport, SyncState};
+use super::timings::SyncTimings;
 use crate::types::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 
 /// From whom this daemon learns what changes in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsSource {
+pub enum SyncSource {
     /// From the store itself.
     Store,
     /// From a daemon that watches the store.
@@ -49,7 +49,7 @@
 
 /// The daemons that are up and stay, as far as this one knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Surroundings {
+pub struct PeerTopology {
     /// Those for which two watch, this one among them, in the order in which they do.
     pub group: Vec<SocketAddr>,
     /// All others than this one, the best suited first.
@@ -58,7 +58,7 @@
 
 /// Why a daemon is not followed any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SourceLost {
+pub enum SourceFailure {
     /// It could not be reached, or said nothing for a while.
     Unreachable,
     /// It ended the connection.
@@ -73,16 +73,16 @@
 
 /// What a daemon does to have fresh news: whether it watches the store, and whom it follows else.
 #[derive(Debug, Clone)]
-pub struct NewsCourse {
+pub struct SourceSelector {
     me: SocketAddr,
-    bounds: NewsBounds,
-    evidence: EvidenceTable,
+    bounds: SyncTimings,
+    evidence: PeerFreshnessTable,
     lost: BTreeMap<SocketAddr, Lost>,
     /// When the store turned this daemon away, if it has not answered since.
     turned_away_at: Option<Time>,
     /// Since when all calls to the store have failed.
     fails_since: Option<Time>,
-    source: NewsSource,
+    source: SyncSource,
     /// When that was decided.
     chosen_at: Time,
     /// Since when nobody is known to be of use.
@@ -91,17 +91,17 @@
     watches: bool,
 }
 
-impl NewsCourse {
+impl SourceSelector {
     /// A daemon that knows of nobody.
-    pub fn new(me: SocketAddr, bounds: NewsBounds) -> Self {
+    pub fn new(me: SocketAddr, bounds: SyncTimings) -> Self {
         Self {
             me,
             bounds,
-            evidence: EvidenceTable::default(),
+            evidence: PeerFreshnessTable::default(),
             lost: BTreeMap::new(),
             turned_away_at: None,
             fails_since: None,
-            source: NewsSource::Nobody,
+            source: SyncSource::Nobody,
             chosen_at: Time(0),
             alone_since: None,
             watches: false,
@@ -109,12 +109,12 @@
     }
 
     /// The times it goes by.
-    pub fn bounds(&self) -> NewsBounds {
+    pub fn bounds(&self) -> SyncTimings {
         self.bounds
     }
 
     /// Sets the times it goes by.
-    pub fn set_bounds(&mut self, bounds: NewsBounds) {
+    pub fn set_bounds(&mut self, bounds: SyncTimings) {
         self.bounds = bounds;
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Takes a heartbeat in: what a daemon says of itself, and what it has heard of others.
-    pub fn heard(&mut self, now: Time, own: &NewsReport, of_others: &[NewsReport]) {
+    pub fn heard(&mut self, now: Time, own: &SyncReport, of_others: &[SyncReport]) {
         self.evidence.heard(now, own);
         for report in of_others.iter().filter(|report| report.address != self.me) {
             self.evidence.heard_of(now, report);
@@ -135,20 +135,20 @@
     }
 
     /// A daemon that was asked at `asked_at` does not watch, and says who does.
-    pub fn redirected(&mut self, now: Time, asked_at: Time, reports: &[NewsReport]) {
+    pub fn redirected(&mut self, now: Time, asked_at: Time, reports: &[SyncReport]) {
         for (n, report) in reports.iter().enumerate().filter(|(_, told)| told.address != self.me) {
             self.evidence.answered(now, asked_at, report, n == 0);
         }
     }
 
     /// A daemon is of no use as a source. It is followed again when it has known the store since.
-    pub fn left(&mut self, now: Time, peer: SocketAddr, why: SourceLost) {
+    pub fn left(&mut self, now: Time, peer: SocketAddr, why: SourceFailure) {
         let until = match why {
-            SourceLost::Unreachable => now + UNREACHABLE_FOR,
-            SourceLost::Ended => now,
+            SourceFailure::Unreachable => now + UNREACHABLE_FOR,
+            SourceFailure::Ended => now,
         };
         self.lost.insert(peer, Lost { at: now, until });
-        self.source = NewsSource::Nobody;
+        self.source = SyncSource::Nobody;
     }
 
     /// A daemon did not answer a question.
@@ -186,7 +186,7 @@
     }
 
     /// From whom it learns now.
-    pub fn source(&self) -> NewsSource {
+    pub fn source(&self) -> SyncSource {
         self.source
     }
 
@@ -198,12 +198,12 @@
     }
 
     /// Where this daemon has its news from, for others.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> SyncState {
         match (self.watches, self.turned_away_at, self.source) {
-            (true, _, _) => Standing::Watches,
-            (false, Some(_), _) => Standing::TurnedAway,
-            (false, None, NewsSource::Peer(_)) => Standing::Follows,
-            (false, None, _) => Standing::Alone,
+            (true, _, _) => SyncState::Watches,
+            (false, Some(_), _) => SyncState::TurnedAway,
+            (false, None, SyncSource::Peer(_)) => SyncState::Follows,
+            (false, None, _) => SyncState::Alone,
         }
     }
 
@@ -211,21 +211,21 @@
     pub fn decide(
         &mut self,
         now: Time,
-        around: &Surroundings,
+        around: &PeerTopology,
         known_at: Option<i64>,
-    ) -> NewsSource {
+    ) -> SyncSource {
         let source = self.decision(now, around, known_at);
-        if let NewsSource::Peer(followed) = self.source
+        if let SyncSource::Peer(followed) = self.source
             && source != self.source
             && self.is_old(now, known_at)
         {
             // It says that it watches, and its news did not come.
-            self.left(now, followed, SourceLost::Unreachable);
+            self.left(now, followed, SourceFailure::Unreachable);
         }
-        self.watches &= source == NewsSource::Store;
+        self.watches &= source == SyncSource::Store;
         self.alone_since = match source {
-            NewsSource::Nobody => self.alone_since.or(Some(now)),
-            NewsSource::Store | NewsSource::Peer(_) => None,
+            SyncSource::Nobody => self.alone_since.or(Some(now)),
+            SyncSource::Store | SyncSource::Peer(_) => None,
         };
         if source != self.source {
             self.chosen_at = now;
@@ -238,24 +238,24 @@
         known_at.is_none_or(|at| moment(now) - at >= millis(self.bounds.calm()))
     }
 
-    fn decision(&self, now: Time, around: &Surroundings, known_at: Option<i64>) -> NewsSource {
+    fn decision(&self, now: Time, around: &PeerTopology, known_at: Option<i64>) -> SyncSource {
         let place = self.place(now, around);
         let open = !self.is_turned_away(now, place < WATCHERS && self.is_old(now, known_at));
         if open && (place < WATCHERS || (self.watches && !self.is_replaced(now, around))) {
-            return NewsSource::Store;
+            return SyncSource::Store;
         }
         let followed = match self.source {
-            NewsSource::Peer(peer) if self.is_usable(now, around, peer) => Some(peer),
+            SyncSource::Peer(peer) if self.is_usable(now, around, peer) => Some(peer),
             _ => None,
         };
         let is_new = now.since(self.chosen_at) < self.bounds.patience();
         if let Some(peer) = followed.filter(|_| is_new) {
-            return NewsSource::Peer(peer);
+            return SyncSource::Peer(peer);
         }
         let turn = self.bounds.turn(place);
         let oldest = moment(now) - millis(self.bounds.calm() + turn);
         if open && known_at.is_none_or(|at| at <= oldest) {
-            return NewsSource::Store;
+            return SyncSource::Store;
         }
         let source = match (followed, self.is_old(now, known_at)) {
             (Some(peer), false) => self.nearer(now, around, peer).or(Some(peer)),
@@ -264,31 +264,31 @@
         };
         let is_alone = self.alone_since.is_some_and(|since| now.since(since) >= turn);
         match source {
-            Some(peer) => NewsSource::Peer(peer),
-            None if open && is_alone => NewsSource::Store,
-            None => NewsSource::Nobody,
+            Some(peer) => SyncSource::Peer(peer),
+            None if open && is_alone => SyncSource::Store,
+            None => SyncSource::Nobody,
         }
     }
 
     /// How many of the group come before this daemon and may watch.
-    fn place(&self, now: Time, around: &Surroundings) -> usize {
+    fn place(&self, now: Time, around: &PeerTopology) -> usize {
         self.before(around).filter(|peer| !self.says_turned_away(now, *peer)).count()
     }
 
-    fn before<'a>(&self, around: &'a Surroundings) -> impl Iterator<Item = SocketAddr> + 'a {
+    fn before<'a>(&self, around: &'a PeerTopology) -> impl Iterator<Item = SocketAddr> + 'a {
         let me = self.me;
         around.group.iter().copied().take_while(move |peer| *peer != me)
     }
 
     /// True if enough of those that come first are known to watch, so that this daemon need not.
-    fn is_replaced(&self, now: Time, around: &Surroundings) -> bool {
+    fn is_replaced(&self, now: Time, around: &PeerTopology) -> bool {
         self.before(around).filter(|peer| self.is_fresh(now, *peer)).count() >= WATCHERS
     }
 
     fn says_turned_away(&self, now: Time, peer: SocketAddr) -> bool {
         self.evidence.of(peer).is_some_and(|told| {
             let holds = now.since(told.heard_at) < TURNED_AWAY_HOLDS;
-            told.standing == Standing::TurnedAway && holds
+            told.standing == SyncState::TurnedAway && holds
         })
     }
 
@@ -296,7 +296,7 @@
     /// no use since.
     fn watching(&self, now: Time, peer: SocketAddr) -> Option<i64> {
         let told = self.evidence.of(peer)?;
-        let known_at = told.known_at.filter(|_| told.standing == Standing::Watches)?;
+        let known_at = told.known_at.filter(|_| told.standing == SyncState::Watches)?;
         let held_off = self
             .lost
             .get(&peer)
@@ -309,7 +309,7 @@
         self.watching(now, peer).is_some_and(|known_at| known_at >= oldest)
     }
 
-    fn is_usable(&self, now: Time, around: &Surroundings, peer: SocketAddr) -> bool {
+    fn is_usable(&self, now: Time, around: &PeerTopology, peer: SocketAddr) -> bool {
         let is_up = around.others.iter().any(|(other, _)| *other == peer);
         is_up && self.watching(now, peer).is_some()
     }
@@ -319,7 +319,7 @@
     fn candidate(
         &self,
         now: Time,
-        around: &Surroundings,
+        around: &PeerTopology,
         known_at: Option<i64>,
     ) -> Option<SocketAddr> {
         let nearest = [Distance::Hall, Distance::Region, Distance::Far];
@@ -332,12 +332,12 @@
         fresh.or_else(|| self.best(now, around, known_at, None))
     }
 
-    fn spread(&self, around: &Surroundings) -> usize {
+    fn spread(&self, around: &PeerTopology) -> usize {
         around.group.iter().position(|peer| *peer == self.me).unwrap_or_default()
     }
 
     /// A daemon with fresh news that is nearer than the one that is followed.
-    fn nearer(&self, now: Time, around: &Surroundings, followed: SocketAddr) -> Option<SocketAddr> {
+    fn nearer(&self, now: Time, around: &PeerTopology, followed: SocketAddr) -> Option<SocketAddr> {
         let off = |peer| around.others.iter().find(|(other, _)| *other == peer).map(|of| of.1);
         let candidate = self.candidate(now, around, None)?;
         (off(candidate) < off(followed) && self.is_fresh(now, candidate)).then_some(candidate)
@@ -347,7 +347,7 @@
     fn best(
         &self,
         now: Time,
-        around: &Surroundings,
+        around: &PeerTopology,
         known_at: Option<i64>,
         but: Option<SocketAddr>,
     ) -> Option<SocketAddr> {
@@ -365,7 +365,7 @@
     pub fn know_more(
         &self,
         now: Time,
-        around: &Surroundings,
+        around: &PeerTopology,
         known_at: Option<i64>,
         some: usize,
     ) -> Vec<SocketAddr> {
@@ -381,8 +381,8 @@
     }
 
     /// Whom else to tell of: of the group and of the others those that watch and know most.
-    pub fn to_tell(&self, now: Time, around: &Surroundings) -> Vec<NewsReport> {
-        let mut known: Vec<(i64, SocketAddr, &Evidence)> = self
+    pub fn to_tell(&self, now: Time, around: &PeerTopology) -> Vec<SyncReport> {
+        let mut known: Vec<(i64, SocketAddr, &PeerFreshness)> = self
             .evidence
             .all()
             .filter_map(|(peer, told)| Some((self.watching(now, peer)?, peer, told)))
@@ -391,7 +391,7 @@
         let (near, far): (Vec<_>, Vec<_>) =
             known.into_iter().partition(|(_, peer, _)| around.group.contains(peer));
         let some = near.into_iter().take(TOLD).chain(far.into_iter().take(TOLD));
-        some.map(|(known_at, address, told)| NewsReport {
+        some.map(|(known_at, address, told)| SyncReport {
             address,
             incarnation: told.incarnation,
             age_ms: u32::try_from(moment(now) - known_at).ok(),
--- a/crates/portrack/src/gateway/news/age.rs
+++ b/crates/portrack/src/gateway/store_sync/staleness.rs
@@ -5,28 +5,28 @@
 
 /// The age of what a daemon knows of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsAge {
+pub enum Staleness {
     /// So long ago the store held nothing that the daemon does not know.
-    Proven(Duration),
+    AtMost(Duration),
     /// It may be of any age.
     Unknown,
 }
 
-impl NewsAge {
+impl Staleness {
     /// The age of a proof, if there is one.
     pub fn of(proof: Option<Duration>) -> Self {
-        proof.map_or(Self::Unknown, Self::Proven)
+        proof.map_or(Self::Unknown, Self::AtMost)
     }
 
     /// True if it is proven and no older than a bound.
     pub fn is_within(self, bound: Duration) -> bool {
-        matches!(self, Self::Proven(age) if age <= bound)
+        matches!(self, Self::AtMost(age) if age <= bound)
     }
 
     /// In milliseconds, -1 if it may be any.
     pub fn millis(self) -> i64 {
         match self {
-            Self::Proven(age) => i64::try_from(age.as_millis()).unwrap_or(i64::MAX),
+            Self::AtMost(age) => i64::try_from(age.as_millis()).unwrap_or(i64::MAX),
             Self::Unknown => -1,
         }
     }
@@ -34,7 +34,7 @@
 
 impl RequestPath {
     /// How old what this daemon knows of the store may be.
-    pub fn news_age(&self) -> NewsAge {
-        NewsAge::of(self.proof.age(self.clock.now()))
+    pub fn staleness(&self) -> Staleness {
+        Staleness::of(self.proof.age(self.clock.now()))
     }
 }
--- a/crates/portrack/src/gateway/news/sync.rs
+++ b/crates/portrack/src/gateway/store_sync/sync.rs
@@ -1,14 +1,14 @@
 //! Follows the store.
 
-use super::age::NewsAge;
-use super::bounds::NewsBounds;
-use super::course::NewsSource;
 use super::pacing::WatchPacing;
+use super::source_selector::SyncSource;
+use super::staleness::Staleness;
+use super::timings::SyncTimings;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::ItemKey;
 use crate::gateway::orders::claim_record::ClaimKey;
 use crate::gateway::quarantine::record::HoldRecord;
-use crate::store::{FeedError, KvChange, KvHeld, StorePosition};
+use crate::store::{KvChange, KvEntry, KvReadError, StorePosition};
 use crate::types::Time;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -45,13 +45,13 @@
         let mut watch = StoreWatch::new(WatchPacing::new(self.settings.bounds.news_within()));
         loop {
             match self.news_source() {
-                NewsSource::Store => self.watch_store(&mut watch).await,
-                NewsSource::Peer(source) => {
+                SyncSource::Store => self.watch_store(&mut watch).await,
+                SyncSource::Peer(source) => {
                     self.follow_peer(source).await;
                     watch.after =
                         Some(self.mirror.borrow().position()).filter(|at| at.revision > 0);
                 }
-                NewsSource::Nobody => actix_rt::time::sleep(self.news_bounds().answer()).await,
+                SyncSource::Nobody => actix_rt::time::sleep(self.news_bounds().answer()).await,
             }
         }
     }
@@ -72,15 +72,15 @@
         let result = tokio::select! {
             result = asking => result,
             // A call from before a cut may hang for as long as a watch and its patience last.
-            () = self.reconnected.notified() => Err(FeedError::Silent),
-            () = self.is_outrun(asked_at + wait + bounds.silent()) => Err(FeedError::Silent),
+            () = self.reconnected.notified() => Err(KvReadError::TimedOut),
+            () = self.is_outrun(asked_at + wait + bounds.silent()) => Err(KvReadError::TimedOut),
         };
         let waited = watch.after.map(|_| self.now().since(asked_at));
-        self.note_era();
+        self.update_era();
         match result {
             Ok(position) => {
                 self.store_answered(prefix);
-                let had_old_news = !self.news_age().is_within(bounds.calm());
+                let had_old_news = !self.staleness().is_within(bounds.calm());
                 // Not the time of the answer: that may have been on its way for long.
                 self.path.proof.renew(asked_at);
                 self.course.borrow_mut().store_answered();
@@ -97,9 +97,9 @@
                 self.store_failed(prefix, error);
                 watch.after = None;
                 let begins_anew = match error {
-                    FeedError::Forgotten => true,
+                    KvReadError::Compacted => true,
                     // A reading that fails so is of no use: the store's answers are of a former era.
-                    FeedError::OtherEra => waited.is_some(),
+                    KvReadError::OtherEra => waited.is_some(),
                     _ => false,
                 };
                 if begins_anew {
@@ -122,7 +122,7 @@
     async fn is_outrun(&self, late_at: Time) {
         loop {
             actix_rt::time::sleep(self.news_bounds().answer()).await;
-            let is_old = !self.news_age().is_within(self.news_bounds().calm());
+            let is_old = !self.staleness().is_within(self.news_bounds().calm());
             let is_late = self.now() >= late_at;
             if is_old && is_late && !self.who_knows_more(1).is_empty() {
                 return;
@@ -147,10 +147,10 @@
     pub(super) fn set_news_bounds(&self) {
         let within = self.settings.bounds.news_within();
         let within = self.proof_bound().map_or(within, |bound| bound.min(within));
-        self.course.borrow_mut().set_bounds(NewsBounds::new(within));
+        self.course.borrow_mut().set_bounds(SyncTimings::new(within));
     }
 
-    async fn read_all(self: &Rc<Self>, prefix: &str) -> Result<StorePosition, FeedError> {
+    async fn read_all(self: &Rc<Self>, prefix: &str) -> Result<StorePosition, KvReadError> {
         let mut list = self.store.read_all(prefix).await?;
         let known = list.entries.into_iter().filter(|held| self.is_known(&held.key));
         list.entries = known.filter_map(|held| self.without_keys(held)).collect();
@@ -158,7 +158,7 @@
         let (entries, known) = (list.entries.len(), self.mirror.borrow().position());
         // What is known may come from a daemon that is further.
         if position.era < known.era {
-            return Err(FeedError::OtherEra);
+            return Err(KvReadError::OtherEra);
         }
         let changes = self.take_list(list);
         log::info!(position:% = position, known:% = known, entries, changes = changes.len(); "store_read");
@@ -171,12 +171,12 @@
         prefix: &str,
         after: StorePosition,
         wait: Duration,
-    ) -> Result<StorePosition, FeedError> {
+    ) -> Result<StorePosition, KvReadError> {
         let changes = self.store.changes(prefix, after, wait).await?;
         let known = changes.changes.into_iter().filter(|change| self.is_known(change.key()));
         let known = known.filter_map(|change| match change {
             KvChange::Put(held) => self.without_keys(held).map(KvChange::Put),
-            gone @ KvChange::Gone { .. } => Some(gone),
+            gone @ KvChange::Deleted { .. } => Some(gone),
         });
         let known: Vec<KvChange> = known.collect();
         let told = known.len();
@@ -191,17 +191,17 @@
         }
         // Another daemon may have told of a newer era meanwhile.
         if self.mirror.borrow().era() != after.era {
-            return Err(FeedError::OtherEra);
+            return Err(KvReadError::OtherEra);
         }
         self.apply(newer, "store");
         Ok(StorePosition::new(after.era, changes.revision.max(after.revision)))
     }
 
     /// An item as it is kept and handed to other daemons: no key in clear is in it.
-    fn without_keys(&self, held: KvHeld) -> Option<KvHeld> {
-        let KvHeld { key, revision, value } = held;
+    fn without_keys(&self, held: KvEntry) -> Option<KvEntry> {
+        let KvEntry { key, revision, value } = held;
         match self.dialect.without_keys(&key, value) {
-            Ok(value) => Some(KvHeld { key, revision, value }),
+            Ok(value) => Some(KvEntry { key, revision, value }),
             Err(error) => {
                 log::error!(key = key.as_str(), error:% = error, source = "store"; "store_item_refused");
                 None
@@ -228,12 +228,12 @@
     /// When news that comes in at this moment was learned; `None` if it may be of any age, since the
     /// store was silent before it. A daemon that was cut off used an adapter's version for another
     /// second after it had learned of a newer one, which had been named many seconds before.
-    pub(in crate::gateway) fn news_learned_at(&self, now: Time) -> Option<Time> {
+    pub(in crate::gateway) fn update_learned_at(&self, now: Time) -> Option<Time> {
         let heard = self.store_seen.get()?;
         (now.since(heard) <= STORE_SILENT).then_some(now)
     }
 
-    fn store_failed(&self, prefix: &str, error: FeedError) {
+    fn store_failed(&self, prefix: &str, error: KvReadError) {
         let age_ms = self.store_seen.get().map_or(0, |at| self.now().since(at).as_millis() as u64);
         self.metrics.store_failures.with_label_values(&[failure_name(error)]).inc();
         log::warn!(prefix = prefix, trouble = failure_name(error), last_answer_ms = age_ms; "store_trouble");
@@ -241,7 +241,7 @@
 
     /// Logs when news of the store is old, and when it is fresh again.
     pub(super) fn look_at_news(&self) {
-        let (age, bounds) = (self.news_age(), self.news_bounds());
+        let (age, bounds) = (self.staleness(), self.news_bounds());
         let is_old = !age.is_within(bounds.old());
         if is_old == self.news_old.replace(is_old) {
             return;
@@ -257,17 +257,17 @@
     /// Counts how old the news is.
     fn count_news_age(&self) {
         let source = match self.course.borrow().source() {
-            NewsSource::Store => "store",
-            NewsSource::Peer(_) => "peer",
-            NewsSource::Nobody => "nobody",
+            SyncSource::Store => "store",
+            SyncSource::Peer(_) => "peer",
+            SyncSource::Nobody => "nobody",
         };
-        if let NewsAge::Proven(age) = self.news_age() {
+        if let Staleness::AtMost(age) = self.staleness() {
             self.metrics.news_age.with_label_values(&[source]).observe(age.as_secs_f64());
         }
     }
 
     /// Logs when proof that keys may be believed in is lost and regained.
-    pub(in crate::gateway) fn look_at_proof(&self) {
+    pub(in crate::gateway) fn check_proof(&self) {
         self.count_news_age();
         let age = self.proof_age_ms();
         self.metrics.proof_age_ms.set(age);
@@ -282,14 +282,14 @@
 }
 
 /// The name of a trouble of the store in logs and metrics.
-fn failure_name(error: FeedError) -> &'static str {
+fn failure_name(error: KvReadError) -> &'static str {
     match error {
-        FeedError::Refused { status: 429 } => "rate_limited",
-        FeedError::Refused { .. } => "refused",
-        FeedError::Broken => "reset",
-        FeedError::Silent => "silent",
-        FeedError::Malformed => "malformed",
-        FeedError::Forgotten => "history_gone",
-        FeedError::OtherEra => "other_era",
+        KvReadError::Refused { status: 429 } => "rate_limited",
+        KvReadError::Refused { .. } => "refused",
+        KvReadError::Disconnected => "reset",
+        KvReadError::TimedOut => "silent",
+        KvReadError::Malformed => "malformed",
+        KvReadError::Compacted => "history_gone",
+        KvReadError::OtherEra => "other_era",
     }
 }
--- a/crates/portrack/src/gateway/news/bounds.rs
+++ b/crates/portrack/src/gateway/store_sync/timings.rs
@@ -31,11 +31,11 @@
 
 /// Times of the way of news, all shares of the time within which it must be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewsBounds {
+pub struct SyncTimings {
     within: Duration,
 }
 
-impl NewsBounds {
+impl SyncTimings {
     /// For news that must be known `within` a time.
     pub fn new(within: Duration) -> Self {
         Self { within }
--- a/crates/portrack/src/store/counted.rs
+++ b/crates/portrack/src/store/counted.rs
@@ -1,7 +1,7 @@
 //! A store whose calls are counted by kind. Every call has a price on the users' machines.
 
-use super::feed::{FeedError, KvChanges, KvFeed, KvOutcome, KvTransaction};
-use super::kv::{Kv, KvError, KvHeld, KvList, KvPut, LocalFuture};
+use super::feed::{KvChanges, KvOutcome, KvReadError, KvStore, KvTransaction};
+use super::kv::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
 use super::position::{StoreEra, StorePosition};
 use prometheus::IntCounterVec;
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 /// Hands every call on and counts it. A whole reading counts as one call, whatever its pages.
 pub struct CountedStore {
-    inner: Rc<dyn KvFeed>,
+    inner: Rc<dyn KvStore>,
     calls: IntCounterVec,
 }
 
 impl CountedStore {
     /// Counts the calls to `inner` in `calls`, which has one label, the kind.
-    pub fn new(inner: Rc<dyn KvFeed>, calls: IntCounterVec) -> Self {
+    pub fn new(inner: Rc<dyn KvStore>, calls: IntCounterVec) -> Self {
         Self { inner, calls }
     }
 
@@ -25,7 +25,7 @@
 }
 
 impl Kv for CountedStore {
-    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvHeld>, KvError>> {
+    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvEntry>, KvError>> {
         self.count("get");
         self.inner.get(key)
     }
@@ -50,7 +50,7 @@
         prefix: &'a str,
         revision: u64,
         wait: Duration,
-    ) -> LocalFuture<'a, Result<Vec<KvHeld>, KvError>> {
+    ) -> LocalFuture<'a, Result<Vec<KvEntry>, KvError>> {
         self.count("watch");
         self.inner.watch(prefix, revision, wait)
     }
@@ -86,7 +86,7 @@
     }
 }
 
-impl KvFeed for CountedStore {
+impl KvStore for CountedStore {
     fn era(&self) -> StoreEra {
         self.inner.era()
     }
@@ -99,7 +99,7 @@
         self.inner.transact(transaction)
     }
 
-    fn read_all<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<KvList, FeedError>> {
+    fn read_all<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<KvList, KvReadError>> {
         self.count("read");
         self.inner.read_all(prefix)
     }
@@ -109,7 +109,7 @@
         prefix: &'a str,
         after: StorePosition,
         wait: Duration,
-    ) -> LocalFuture<'a, Result<KvChanges, FeedError>> {
+    ) -> LocalFuture<'a, Result<KvChanges, KvReadError>> {
         self.count("watch");
         self.inner.changes(prefix, after, wait)
     }
--- a/crates/portrack/src/store/etcd.rs
+++ b/crates/portrack/src/store/etcd.rs
@@ -1,6 +1,6 @@
 //! The key-value service by the JSON gateway of etcd v3.
 
-use super::kv::{Kv, KvError, KvHeld, KvList, KvPut, LocalFuture};
+use super::kv::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
 use crate::http::certainly_not_sent;
 use awc::error::SendRequestError;
 use base64::Engine as _;
@@ -76,7 +76,7 @@
         prefix: &str,
         revision: u64,
         wait: Duration,
-    ) -> Result<Vec<KvHeld>, KvError> {
+    ) -> Result<Vec<KvEntry>, KvError> {
         self.calls.set(self.calls.get() + 1);
         let create = json!({ "create_request": {
             "key": STANDARD.encode(prefix),
@@ -94,7 +94,7 @@
 }
 
 /// Reads lines of the watch until one has events.
-async fn read_events<S>(response: &mut awc::ClientResponse<S>) -> Result<Vec<KvHeld>, KvError>
+async fn read_events<S>(response: &mut awc::ClientResponse<S>) -> Result<Vec<KvEntry>, KvError>
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -106,7 +106,7 @@
             let value: Value = serde_json::from_slice(&line).map_err(|_| KvError::Unavailable)?;
             let events = value["result"]["events"].as_array().cloned().unwrap_or_default();
             let puts = events.iter().filter(|event| event["type"] != json!("DELETE"));
-            let held: Vec<KvHeld> = puts.filter_map(|event| held(&event["kv"])).collect();
+            let held: Vec<KvEntry> = puts.filter_map(|event| held(&event["kv"])).collect();
             if !held.is_empty() {
                 return Ok(held);
             }
@@ -132,11 +132,11 @@
     STANDARD.decode(value.as_str()?).ok()
 }
 
-fn held(kv: &Value) -> Option<KvHeld> {
+fn held(kv: &Value) -> Option<KvEntry> {
     let key = String::from_utf8(text(&kv["key"])?).ok()?;
     let revision = number(&kv["mod_revision"])?;
     let value = text(&kv["value"]).unwrap_or_default();
-    Some(KvHeld { key, revision, value })
+    Some(KvEntry { key, revision, value })
 }
 
 fn unchanged_since(key: &str, revision: u64) -> Value {
@@ -158,7 +158,7 @@
 }
 
 impl Kv for Etcd {
-    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvHeld>, KvError>> {
+    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvEntry>, KvError>> {
         Box::pin(async move {
             let list = self.range(json!({ "key": STANDARD.encode(key) })).await?;
             Ok(list.entries.into_iter().next())
@@ -191,7 +191,7 @@
         prefix: &'a str,
         revision: u64,
         wait: Duration,
-    ) -> LocalFuture<'a, Result<Vec<KvHeld>, KvError>> {
+    ) -> LocalFuture<'a, Result<Vec<KvEntry>, KvError>> {
         Box::pin(self.watch_once(prefix, revision, wait))
     }
 
--- a/crates/portrack/src/store/feed.rs
+++ b/crates/portrack/src/store/feed.rs
@@ -1,7 +1,7 @@
 //! What a follower of the store needs beyond single calls: changes with removals, and why a call
 //! failed.
 
-use super::kv::{Kv, KvError, KvHeld, KvPut, LocalFuture};
+use super::kv::{Kv, KvEntry, KvError, KvPut, LocalFuture};
 use super::position::{StoreEra, StorePosition};
 use snafu::Snafu;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KvChange {
     /// A key was written.
-    Put(KvHeld),
+    Put(KvEntry),
     /// A key was removed at this revision.
-    Gone {
+    Deleted {
         /// The key.
         key: String,
         /// The revision of its removal.
@@ -25,7 +25,7 @@
     pub fn key(&self) -> &str {
         match self {
             Self::Put(held) => &held.key,
-            Self::Gone { key, .. } => key,
+            Self::Deleted { key, .. } => key,
         }
     }
 }
@@ -43,7 +43,7 @@
 
 /// Why a reading call has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum FeedError {
+pub enum KvReadError {
     /// The store turned the call away.
     #[snafu(display("refused with {status}"))]
     Refused {
@@ -52,16 +52,16 @@
     },
     /// The connection was refused or broke off.
     #[snafu(display("connection broken"))]
-    Broken,
+    Disconnected,
     /// No answer within the time allowed.
     #[snafu(display("no answer"))]
-    Silent,
+    TimedOut,
     /// The answer cannot be read.
     #[snafu(display("malformed answer"))]
     Malformed,
     /// The history before the revision asked for is gone: read everything anew.
     #[snafu(display("history is gone"))]
-    Forgotten,
+    Compacted,
     /// The answer is of another era than the question: read everything anew.
     #[snafu(display("the store is in another era"))]
     OtherEra,
@@ -82,13 +82,13 @@
     /// It was carried out, at this revision.
     Committed(u64),
     /// A key has changed; these are the expected keys as they stand.
-    Conflict(Vec<KvHeld>),
+    Conflict(Vec<KvEntry>),
     /// A lease that it names is over.
     NoLease,
 }
 
 /// Reads whole prefixes, follows their changes, and writes several keys together.
-pub trait KvFeed: Kv {
+pub trait KvStore: Kv {
     /// The newest era that an answer told; any answer may.
     fn era(&self) -> StoreEra {
         StoreEra::default()
@@ -102,8 +102,10 @@
     ) -> LocalFuture<'a, Result<KvOutcome, KvError>>;
 
     /// All keys under a prefix, page by page.
-    fn read_all<'a>(&'a self, prefix: &'a str)
-    -> LocalFuture<'a, Result<super::KvList, FeedError>>;
+    fn read_all<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> LocalFuture<'a, Result<super::KvList, KvReadError>>;
 
     /// Waits up to `wait` for changes under a prefix after a position.
     fn changes<'a>(
@@ -111,5 +113,5 @@
         prefix: &'a str,
         after: StorePosition,
         wait: Duration,
-    ) -> LocalFuture<'a, Result<KvChanges, FeedError>>;
+    ) -> LocalFuture<'a, Result<KvChanges, KvReadError>>;
 }
--- a/crates/portrack/src/store/kv.rs
+++ b/crates/portrack/src/store/kv.rs
@@ -22,7 +22,7 @@
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KvHeld {
+pub struct KvEntry {
     /// The key.
     pub key: String,
     /// The revision of its last change.
@@ -39,7 +39,7 @@
     /// The service's revision at the time.
     pub revision: u64,
     /// The keys.
-    pub entries: Vec<KvHeld>,
+    pub entries: Vec<KvEntry>,
 }
 
 /// One write of a transaction.
@@ -54,7 +54,7 @@
 /// A key-value service with compare-and-swap, leases and watches. Each method is one call.
 pub trait Kv {
     /// One key.
-    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvHeld>, KvError>>;
+    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvEntry>, KvError>>;
 
     /// All keys under a prefix.
     fn list<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<KvList, KvError>>;
@@ -74,7 +74,7 @@
         prefix: &'a str,
         revision: u64,
         wait: Duration,
-    ) -> LocalFuture<'a, Result<Vec<KvHeld>, KvError>>;
+    ) -> LocalFuture<'a, Result<Vec<KvEntry>, KvError>>;
 
     /// A new lease that lapses `ttl` after its last renewal.
     fn grant_lease(&self, ttl: Duration) -> LocalFuture<'_, Result<u64, KvError>>;
--- a/crates/portrack/src/store/mod.rs
+++ b/crates/portrack/src/store/mod.rs
@@ -9,7 +9,7 @@
 
 pub use counted::CountedStore;
 pub use etcd::Etcd;
-pub use feed::{FeedError, KvChange, KvChanges, KvFeed, KvOutcome, KvTransaction};
-pub use kv::{Kv, KvError, KvHeld, KvList, KvPut, LocalFuture};
+pub use feed::{KvChange, KvChanges, KvOutcome, KvReadError, KvStore, KvTransaction};
+pub use kv::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
 pub use nodes::{NodeList, NodeListClient, NodeListError};
-pub use position::{EraWord, StoreEra, StoreEras, StorePosition};
+pub use position::{ObservedEras, ReportedEra, StoreEra, StorePosition};
--- a/crates/portrack/src/store/position.rs
+++ b/crates/portrack/src/store/position.rs
@@ -16,12 +16,12 @@
     pub const NONE: Self = Self(0);
 
     /// The era that the store calls by this number.
-    pub fn numbered(number: u64) -> Self {
+    pub fn from_number(number: u64) -> Self {
         Self(number.saturating_add(1))
     }
 
     /// True if the store tells its era.
-    pub fn is_told(self) -> bool {
+    pub fn is_known(self) -> bool {
         self != Self::NONE
     }
 
@@ -66,18 +66,18 @@
 
 /// What an answer of the store says of its era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EraWord {
+pub enum ReportedEra {
     /// Nothing.
     Absent,
     /// The answer is of this era.
-    Told(StoreEra),
+    Valid(StoreEra),
     /// Something that is no era.
-    Unreadable,
+    Invalid,
 }
 
 /// The eras that the answers of one store told. Answers overtake each other.
 #[derive(Debug, Default)]
-pub struct StoreEras {
+pub struct ObservedEras {
     newest: Cell<StoreEra>,
     /// The last word was no era; logged once.
     unreadable: Cell<bool>,
@@ -85,18 +85,18 @@
     former: Cell<bool>,
 }
 
-impl StoreEras {
+impl ObservedEras {
     /// The newest era that was told.
     pub fn newest(&self) -> StoreEra {
         self.newest.get()
     }
 
     /// Takes in what an answer says, and tells which era it is of: the newest known, if it does not tell.
-    pub fn answered(&self, word: EraWord) -> StoreEra {
-        if word == EraWord::Unreadable && !self.unreadable.replace(true) {
+    pub fn answered(&self, word: ReportedEra) -> StoreEra {
+        if word == ReportedEra::Invalid && !self.unreadable.replace(true) {
             log::warn!(era:% = self.newest.get(); "store_era_unreadable");
         }
-        let EraWord::Told(era) = word else { return self.newest.get() };
+        let ReportedEra::Valid(era) = word else { return self.newest.get() };
         self.unreadable.set(false);
         let former = era < self.newest.get();
         if former && !self.former.replace(former) {
--- a/crates/portrack/tests/gateway/evacuation.rs
+++ b/crates/portrack/tests/gateway/evacuation.rs
@@ -8,7 +8,7 @@
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
 use portrack::gateway::{
-    EvacuatedHalls, LoadRequestAnswer, Mirror, MirrorItem, Mirrored, Planner, ServerReport,
+    EvacuatedHalls, LoadRequestAnswer, Mirror, MirrorChange, MirrorItem, Planner, ServerReport,
     StoreProof,
 };
 use portrack::store::StoreEra;
@@ -92,13 +92,13 @@
     fn hear(&mut self, now: Time, answer: Answer) {
         for change in self.mirror.apply_items(StoreEra::NONE, answer.items) {
             match change {
-                Mirrored::Put(held) => {
+                MirrorChange::Put(held) => {
                     let hall: Rc<str> = held.key.as_str().into();
                     if self.halls.evacuate(&hall) {
                         self.halls.date(&hall, now, &self.proof, WITHIN);
                     }
                 }
-                Mirrored::Gone(hall) => {
+                MirrorChange::Removed(hall) => {
                     self.halls.reinstate(&hall);
                 }
             }
--- a/crates/portrack/tests/gateway/former.rs
+++ b/crates/portrack/tests/gateway/former.rs
@@ -2,8 +2,8 @@
 //! builds hear each other meanwhile.
 
 use portrack::gateway::{
-    Capabilities, ClaimRecord, EraClock, EraReport, GrantAsk, GrantMessage, Heartbeat, LimitReport,
-    NewsReport, OrganisationMark, PeerMessage, RateLimit, RecordEras, Standing, Work,
+    Capabilities, ClaimRecord, EraReport, EraTracker, GrantAsk, GrantMessage, Heartbeat,
+    LimitReport, OrganisationMark, PeerMessage, RateLimit, RecordEras, SyncReport, SyncState, Work,
     decode_message, encode_message,
 };
 use portrack::store::StoreEra;
@@ -75,11 +75,11 @@
         known: vec!["10.1.0.39:7380".parse().expect("an address")],
         heard: 3,
         capacity: 100,
-        news: vec![NewsReport {
+        news: vec![SyncReport {
             address,
             incarnation: 1_772_255_030_017,
             age_ms: Some(1_400),
-            standing: Standing::Watches,
+            standing: SyncState::Watches,
         }],
         capabilities: Capabilities::OWN,
         store: EraReport::default(),
@@ -158,9 +158,9 @@
     let former = bytes(&format!("{FORMER_HEARTBEAT}{CAPABILITIES}"));
     let read = decode_message(&former).expect("a heartbeat");
     assert_eq!(read, PeerMessage::Heartbeat(heartbeat()));
-    let mut eras = EraClock::default();
-    eras.learn(Time(1_000), StoreEra::numbered(3));
-    eras.learn(Time(2_000), StoreEra::numbered(4));
+    let mut eras = EraTracker::default();
+    eras.learn(Time(1_000), StoreEra::from_number(3));
+    eras.learn(Time(2_000), StoreEra::from_number(4));
     let store = eras.report(Time(2_700), 5);
     let told = PeerMessage::Heartbeat(Heartbeat { store, ..heartbeat() });
     let written = encode_message(&told).expect("short enough");
@@ -175,7 +175,7 @@
     let read = ClaimRecord::read(&former).expect("a record");
     let (machine, eras) = ("n1|x".to_owned(), RecordEras::default());
     assert_eq!(read, ClaimRecord { machine, settled: true, resigned: false, eras });
-    let eras = RecordEras { written: StoreEra::numbered(4), first: StoreEra::numbered(3) };
+    let eras = RecordEras { written: StoreEra::from_number(4), first: StoreEra::from_number(3) };
     let told = ClaimRecord { eras, ..read };
     assert_eq!(told.bytes()[..former.len()], former, "what is new comes at the end");
     assert_eq!(ClaimRecord::read(&told.bytes()), Some(told));
--- a/crates/portrack/tests/gateway/history.rs
+++ b/crates/portrack/tests/gateway/history.rs
@@ -3,7 +3,9 @@
 
 use crate::support::ms;
 use portrack::Time;
-use portrack::gateway::{ClaimRecord, Claims, EraClock, KEPT_FOR, Predecessor, RecordEras};
+use portrack::gateway::{
+    ClaimRecord, Claims, EraTracker, Predecessor, RETENTION_PERIOD, RecordEras,
+};
 use portrack::store::StoreEra;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -59,7 +61,7 @@
     /// One in which the server was ordered before: in a copy without any record nothing tells a daemon that has just
     /// started from one of a fleet that never ran.
     fn ordered_once() -> Self {
-        let era = StoreEra::numbered(0);
+        let era = StoreEra::from_number(0);
         let eras = RecordEras { written: era, first: era };
         let record = ClaimRecord { machine: machine(0), settled: true, resigned: true, eras };
         Self { revision: 1, record: Some((1, record)), ..Self::default() }
@@ -77,7 +79,7 @@
     claims: Claims,
     paused_until: u64,
     lease: Option<u64>,
-    eras: EraClock,
+    eras: EraTracker,
     /// The record as it was last read.
     seen: Option<ClaimRecord>,
     /// The record as it was known in a former era, if that is believed.
@@ -117,7 +119,7 @@
         claims: Claims::new(ms(TTL_MS), ms(QUIET_MS)),
         paused_until: 0,
         lease: None,
-        eras: EraClock::default(),
+        eras: EraTracker::default(),
         seen: None,
         kept: None,
     }
@@ -186,8 +188,8 @@
 
 /// What a daemon takes from an answer's era, and from the record that it reads.
 fn see_era(now: u64, daemon: &mut Daemon, store: &Store) {
-    let era = StoreEra::numbered(store.era);
-    let is_first = !daemon.eras.era().is_told();
+    let era = StoreEra::from_number(store.era);
+    let is_first = !daemon.eras.era().is_known();
     let record = store.record.as_ref().map(|(_, record)| record);
     if daemon.eras.learn(Time(now), era).is_some() {
         daemon.claims.store_came_back(Time(now));
@@ -220,8 +222,8 @@
     let is_new = store
         .record
         .as_ref()
-        .is_some_and(|(_, record)| record.eras.written == StoreEra::numbered(store.era));
-    let is_over = daemon.eras.age(Time(now)).is_some_and(|age| age >= KEPT_FOR);
+        .is_some_and(|(_, record)| record.eras.written == StoreEra::from_number(store.era));
+    let is_over = daemon.eras.age(Time(now)).is_some_and(|age| age >= RETENTION_PERIOD);
     if is_new || is_over {
         daemon.kept = None;
     }
--- a/crates/portrack/tests/gateway/messages.rs
+++ b/crates/portrack/tests/gateway/messages.rs
@@ -1,17 +1,17 @@
 //! Datagrams between daemons.
 
 use portrack::gateway::{
-    Capabilities, EraReport, Heartbeat, MAX_DATAGRAM, NewsReport, NoticeState, PeerMessage,
-    PlacementNotice, Standing, decode_message, encode_message,
+    Capabilities, EraReport, Heartbeat, MAX_DATAGRAM, NoticeState, PeerMessage, PlacementNotice,
+    SyncReport, SyncState, decode_message, encode_message,
 };
 use proptest::prelude::*;
 
-fn news(last: u8) -> NewsReport {
-    NewsReport {
+fn news(last: u8) -> SyncReport {
+    SyncReport {
         address: ([10, 1, 0, last], 7_380).into(),
         incarnation: 1_772_255_030_017,
         age_ms: Some(1_400),
-        standing: Standing::Watches,
+        standing: SyncState::Watches,
     }
 }
 
--- a/crates/portrack/tests/gateway/mirror.rs
+++ b/crates/portrack/tests/gateway/mirror.rs
@@ -1,25 +1,25 @@
 //! The copy of the store never goes back.
 
-use portrack::gateway::{Keeps, Mirror, MirrorItem, Mirrored};
-use portrack::store::{KvChange, KvHeld, KvList, StoreEra, StorePosition};
+use portrack::gateway::{Mirror, MirrorChange, MirrorItem, RetainFn};
+use portrack::store::{KvChange, KvEntry, KvList, StoreEra, StorePosition};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// Of a store that tells none.
 const ERA: StoreEra = StoreEra::NONE;
 /// No reading begins a new era.
-const NOTHING_KEPT: Keeps<'static> = &|_| false;
+const NOTHING_KEPT: RetainFn<'static> = &|_| false;
 
 fn at(revision: u64) -> StorePosition {
     StorePosition::new(ERA, revision)
 }
 
-fn held(key: &str, revision: u64) -> KvHeld {
-    KvHeld { key: key.into(), revision, value: revision.to_be_bytes().to_vec() }
+fn held(key: &str, revision: u64) -> KvEntry {
+    KvEntry { key: key.into(), revision, value: revision.to_be_bytes().to_vec() }
 }
 
 fn gone(key: &str, revision: u64) -> KvChange {
-    KvChange::Gone { key: key.into(), revision }
+    KvChange::Deleted { key: key.into(), revision }
 }
 
 #[test]
@@ -29,7 +29,7 @@
     assert_eq!(mirror.apply(ERA, KvChange::Put(held("a", 4))), None);
     assert_eq!(mirror.apply(ERA, KvChange::Put(held("a", 5))), None);
     assert_eq!(mirror.apply(ERA, gone("a", 4)), None);
-    assert_eq!(mirror.apply(ERA, gone("a", 6)), Some(Mirrored::Gone("a".into())));
+    assert_eq!(mirror.apply(ERA, gone("a", 6)), Some(MirrorChange::Removed("a".into())));
     assert_eq!(mirror.apply(ERA, KvChange::Put(held("a", 5))), None, "a removed key stays removed");
     assert!(mirror.apply(ERA, KvChange::Put(held("a", 7))).is_some());
 }
@@ -46,7 +46,7 @@
         entries: vec![held("p/b", 3), held("p/d", 7)],
     };
     let changes = mirror.apply_all("p/", list, NOTHING_KEPT);
-    assert_eq!(changes, [Mirrored::Gone("p/a".into()), Mirrored::Put(held("p/d", 7))]);
+    assert_eq!(changes, [MirrorChange::Removed("p/a".into()), MirrorChange::Put(held("p/d", 7))]);
     let left: Vec<String> =
         mirror.items_after(0).into_iter().filter(|i| i.value.is_some()).map(|i| i.key).collect();
     assert_eq!(left, ["p/b", "p/d", "p/new", "q/c"], "what is newer than the reading stays");
@@ -62,7 +62,11 @@
     let mut other = Mirror::default();
     other.apply(ERA, KvChange::Put(held("a", 5)));
     let changes = other.apply_items(ERA, mirror.items_after(5));
-    assert_eq!(changes, [Mirrored::Gone("a".into())], "removals reach a peer that catches up");
+    assert_eq!(
+        changes,
+        [MirrorChange::Removed("a".into())],
+        "removals reach a peer that catches up"
+    );
 }
 
 /// A copy that was read whole at revision 10 and has seen `b` go since.
@@ -92,7 +96,7 @@
     follower.apply(ERA, KvChange::Put(held("a", 5)));
     follower.apply(ERA, KvChange::Put(held("removed unseen", 7)));
     let changes = follower.apply_whole("", news.position, news.items, NOTHING_KEPT);
-    assert_eq!(changes, [Mirrored::Gone("removed unseen".into())]);
+    assert_eq!(changes, [MirrorChange::Removed("removed unseen".into())]);
 }
 
 proptest! {
--- a/crates/portrack/tests/gateway/mirror_eras.rs
+++ b/crates/portrack/tests/gateway/mirror_eras.rs
@@ -1,12 +1,12 @@
 //! Copies of a store that comes back from older copies of itself, at a daemon that watches it and at one that follows.
 
-use portrack::gateway::{Difference, Keeps, Mirror, MirrorNews};
-use portrack::store::{KvChange, KvHeld, KvList, StoreEra, StorePosition};
+use portrack::gateway::{Mirror, MirrorUpdate, RestoreConflict, RetainFn};
+use portrack::store::{KvChange, KvEntry, KvList, StoreEra, StorePosition};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// Believes all that was known.
-const ALL_KEPT: Keeps<'static> = &|_: Difference<'_>| true;
+const ALL_KEPT: RetainFn<'static> = &|_: RestoreConflict<'_>| true;
 
 #[derive(Debug, Clone, Default)]
 struct Store {
@@ -18,14 +18,14 @@
 
 impl Store {
     fn era(&self) -> StoreEra {
-        StoreEra::numbered(self.era)
+        StoreEra::from_number(self.era)
     }
 
     fn put(&mut self, key: u8, value: u8) {
         self.revision += 1;
         let key = format!("k{key}");
         self.items.insert(key.clone(), (self.revision, vec![value]));
-        let held = KvHeld { key, revision: self.revision, value: vec![value] };
+        let held = KvEntry { key, revision: self.revision, value: vec![value] };
         self.history.push(KvChange::Put(held));
     }
 
@@ -33,7 +33,7 @@
         self.revision += 1;
         let key = format!("k{key}");
         self.items.remove(&key);
-        self.history.push(KvChange::Gone { key, revision: self.revision });
+        self.history.push(KvChange::Deleted { key, revision: self.revision });
     }
 
     fn come_back(&mut self, copy: Self) {
@@ -41,7 +41,7 @@
     }
 
     fn list(&self) -> KvList {
-        let held = |(key, (revision, value)): (&String, &(u64, Vec<u8>))| KvHeld {
+        let held = |(key, (revision, value)): (&String, &(u64, Vec<u8>))| KvEntry {
             key: key.clone(),
             revision: *revision,
             value: value.clone(),
@@ -53,7 +53,7 @@
     fn after(&self, revision: u64) -> impl Iterator<Item = KvChange> + '_ {
         let later = move |change: &&KvChange| match change {
             KvChange::Put(held) => held.revision > revision,
-            KvChange::Gone { revision: at, .. } => *at > revision,
+            KvChange::Deleted { revision: at, .. } => *at > revision,
         };
         self.history.iter().filter(later).cloned()
     }
@@ -80,7 +80,7 @@
 
 /// The one that follows gets a frame.
 fn feed(follower: &mut Mirror, source: &Mirror) {
-    let MirrorNews { position, whole, items, step } = source.news_after(follower.position());
+    let MirrorUpdate { position, whole, items, step } = source.news_after(follower.position());
     if position.era < follower.era() {
         return;
     }
@@ -90,7 +90,7 @@
         (false, None) => Some(follower.apply_items(position.era, items)),
     };
     if taken.is_none() {
-        let MirrorNews { position, items, .. } = source.news_after(StorePosition::default());
+        let MirrorUpdate { position, items, .. } = source.news_after(StorePosition::default());
         follower.apply_whole("", position, items, ALL_KEPT);
     }
     follower.adopt(source.kept_items());
@@ -216,14 +216,14 @@
     assert_eq!(values(&mirror), [("k1".into(), vec![11]), ("k2".into(), vec![20])].into());
     assert_eq!(mirror.kept(), 2);
     // A former reading that comes late changes nothing.
-    let late = KvList { era: StoreEra::numbered(0), revision: 9, entries: Vec::new() };
+    let late = KvList { era: StoreEra::from_number(0), revision: 9, entries: Vec::new() };
     assert_eq!(mirror.apply_all("", late, ALL_KEPT), []);
     mirror.believe_store();
     assert_eq!(values(&mirror), store.values());
 }
 
 /// What is sent of items, in bytes.
-fn sent(news: &MirrorNews) -> usize {
+fn sent(news: &MirrorUpdate) -> usize {
     let gone = news.step.as_ref().map_or(0, |step| step.gone.iter().map(String::len).sum());
     gone + postcard::to_allocvec(&news.items).expect("it can be written").len()
 }
--- a/crates/portrack/tests/gateway/news.rs
+++ b/crates/portrack/tests/gateway/news.rs
@@ -5,7 +5,7 @@
 //! by the store, a daemon that has been in touch for a while has news that is younger than the bound.
 
 use crate::news_fleet::{Access, Fleet, STEP};
-use portrack::gateway::NewsBounds;
+use portrack::gateway::SyncTimings;
 use rand::Rng;
 use std::time::Duration;
 
@@ -99,7 +99,8 @@
         for seed in 0..plays {
             for within in [2_000, 3_000] {
                 let oldest = play(seed, daemons, regions.clone(), within);
-                let most = NewsBounds::new(Duration::from_millis(within)).most().as_millis() as u64;
+                let most =
+                    SyncTimings::new(Duration::from_millis(within)).most().as_millis() as u64;
                 all.push((oldest.age as f64 / most as f64, daemons, within, oldest.story));
             }
         }
--- a/crates/portrack/tests/gateway/news_fleet.rs
+++ b/crates/portrack/tests/gateway/news_fleet.rs
@@ -3,7 +3,8 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    Distance, NewsBounds, NewsCourse, NewsReport, NewsSource, SourceLost, StoreProof, Surroundings,
+    Distance, PeerTopology, SourceFailure, SourceSelector, StoreProof, SyncReport, SyncSource,
+    SyncTimings,
 };
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -80,7 +81,7 @@
     up_since: u64,
     part_since: u64,
     open_since: u64,
-    course: NewsCourse,
+    course: SourceSelector,
     proof: StoreProof,
     /// Up to when it really knows everything.
     knows: u64,
@@ -96,14 +97,14 @@
     at: u64,
     from: usize,
     to: usize,
-    reports: Vec<NewsReport>,
+    reports: Vec<SyncReport>,
 }
 
 /// The fleet.
 pub struct Fleet {
     pub now: u64,
     pub calls: u64,
-    pub bounds: NewsBounds,
+    pub bounds: SyncTimings,
     nodes: Vec<Node>,
     regions: Vec<usize>,
     datagrams: Vec<Datagram>,
@@ -127,7 +128,7 @@
 impl Fleet {
     /// Daemons spread over halls, whose regions are given.
     pub fn new(seed: u64, daemons: usize, regions: Vec<usize>, within: Duration) -> Self {
-        let bounds = NewsBounds::new(within);
+        let bounds = SyncTimings::new(within);
         let node = |n: usize| Node {
             hall: n % regions.len(),
             up: true,
@@ -138,7 +139,7 @@
             up_since: 0,
             part_since: 0,
             open_since: 0,
-            course: NewsCourse::new(address(n), bounds),
+            course: SourceSelector::new(address(n), bounds),
             proof: StoreProof::default(),
             knows: 0,
             doing: Doing::Nothing { until: 0 },
@@ -202,7 +203,7 @@
         held.up = true;
         held.life += 1;
         (held.born, held.up_since) = (now, now);
-        held.course = NewsCourse::new(address(node), bounds);
+        held.course = SourceSelector::new(address(node), bounds);
         held.proof = StoreProof::default();
         held.knows = 0;
         held.doing = Doing::Nothing { until: now };
@@ -234,7 +235,7 @@
         BEAT * self.nodes[node].heard.len().div_ceil(FAN_OUT).max(1) as u64
     }
 
-    fn around(&self, node: usize) -> Surroundings {
+    fn around(&self, node: usize) -> PeerTopology {
         let gone = 3_000.max(self.round(node) * 5);
         let me = &self.nodes[node];
         let up = me.heard.iter().filter(|(_, at)| self.now - **at < gone).map(|(peer, _)| *peer);
@@ -252,15 +253,15 @@
         let near = others.iter().filter(|(_, off)| *off <= farthest).map(|(peer, _)| *peer);
         let mut group: Vec<usize> = near.chain([node]).collect();
         group.sort_unstable();
-        Surroundings {
+        PeerTopology {
             group: group.into_iter().map(address).collect(),
             others: others.into_iter().map(|(peer, off)| (address(peer), off)).collect(),
         }
     }
 
-    fn own_news(&self, node: usize) -> NewsReport {
+    fn own_sync_report(&self, node: usize) -> SyncReport {
         let held = &self.nodes[node];
-        NewsReport {
+        SyncReport {
             address: address(node),
             incarnation: held.life,
             age_ms: held.proof.age_to_tell(self.local(node)),
@@ -268,12 +269,12 @@
         }
     }
 
-    fn reports(&self, node: usize) -> Vec<NewsReport> {
+    fn reports(&self, node: usize) -> Vec<SyncReport> {
         let told = self.nodes[node].course.to_tell(self.local(node), &self.around(node));
-        std::iter::once(self.own_news(node)).chain(told).collect()
+        std::iter::once(self.own_sync_report(node)).chain(told).collect()
     }
 
-    fn decide(&mut self, node: usize) -> NewsSource {
+    fn decide(&mut self, node: usize) -> SyncSource {
         let (around, local) = (self.around(node), self.local(node));
         let watched = self.nodes[node].course.watches();
         let held = &mut self.nodes[node];
@@ -288,7 +289,7 @@
             return;
         }
         self.nodes[node].watched_since = watches.then_some(self.now);
-        let Surroundings { group, others } = self.around(node);
+        let PeerTopology { group, others } = self.around(node);
         let others = others.into_iter().map(|(peer, _)| peer).filter(|peer| !group.contains(peer));
         let far = if had_old_news { TOLD_AT_ONCE } else { 0 };
         let told = group.iter().copied().chain(others.take(far));
@@ -373,8 +374,8 @@
     fn begin(&mut self, node: usize) {
         let now = self.now;
         self.nodes[node].doing = match self.decide(node) {
-            NewsSource::Nobody => Doing::Nothing { until: now + millis(self.bounds.answer()) },
-            NewsSource::Store => {
+            SyncSource::Nobody => Doing::Nothing { until: now + millis(self.bounds.answer()) },
+            SyncSource::Store => {
                 self.calls += 1;
                 let watches = self.nodes[node].course.watches();
                 let wait = if watches { millis(self.bounds.watch()) } else { 0 };
@@ -386,7 +387,7 @@
                 };
                 Doing::Asking { asked_at: now, wait, answer }
             }
-            NewsSource::Peer(peer) => {
+            SyncSource::Peer(peer) => {
                 let source = node_of(peer);
                 let life = self.nodes[source].life;
                 let told = None;
@@ -428,7 +429,7 @@
         }
     }
 
-    fn leave(&mut self, node: usize, source: usize, why: SourceLost) {
+    fn leave(&mut self, node: usize, source: usize, why: SourceFailure) {
         let (now, local) = (self.now, self.local(node));
         let held = &mut self.nodes[node];
         let until = match now - held.heard_any >= 900 {
@@ -450,21 +451,21 @@
                 Some(_) => self.bounds.silent(),
             };
             if now - feed.frame_at >= millis(silent) {
-                return self.leave(node, source, SourceLost::Unreachable);
+                return self.leave(node, source, SourceFailure::Unreachable);
             }
         } else if !self.nodes[source].up || self.nodes[source].life != feed.life {
-            return self.leave(node, source, SourceLost::Ended);
+            return self.leave(node, source, SourceFailure::Ended);
         } else if !self.nodes[source].course.watches() {
             let reports = self.reports(source);
             let (local, asked) = (self.local(node), Time(feed.question - self.nodes[node].born));
             self.nodes[node].course.redirected(local, asked, &reports);
-            return self.leave(node, source, SourceLost::Ended);
+            return self.leave(node, source, SourceFailure::Ended);
         } else {
             self.take_frame(node, &mut feed);
         }
         if now - feed.looked_at >= millis(self.bounds.answer()) {
             feed.looked_at = now;
-            if self.decide(node) != NewsSource::Peer(address(source)) {
+            if self.decide(node) != SyncSource::Peer(address(source)) {
                 self.nodes[node].doing = Doing::Nothing { until: now };
                 return;
             }
@@ -489,7 +490,7 @@
         let heard_at = Time(feed.question + STEP - self.nodes[feed.source].born.min(feed.question));
         let age = self.nodes[feed.source].proof.age_to_tell(heard_at);
         let knows = self.nodes[feed.source].knows;
-        let reports = [NewsReport { age_ms: age, ..self.own_news(feed.source) }];
+        let reports = [SyncReport { age_ms: age, ..self.own_sync_report(feed.source) }];
         let local = self.local(node);
         let held = &mut self.nodes[node];
         let asked = Time(feed.question - held.born);
--- a/crates/portrack/tests/gateway/peers.rs
+++ b/crates/portrack/tests/gateway/peers.rs
@@ -2,7 +2,7 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    Capabilities, EraClock, EraReport, Heartbeat, Incarnation, PeerChange, Peers,
+    Capabilities, EraReport, EraTracker, Heartbeat, Incarnation, PeerChange, Peers,
 };
 use std::net::SocketAddr;
 
@@ -95,8 +95,8 @@
     let mut peers = peers();
     peers.heard(Time(10), beat(3, 1));
     peers.heard(Time(10), beat(5, 1));
-    assert_eq!(peers.better_informed(Time(20), &EraClock::default(), 2), Some(address(5)));
-    assert_eq!(peers.better_informed(Time(20), &EraClock::default(), 5), None);
+    assert_eq!(peers.better_informed(Time(20), &EraTracker::default(), 2), Some(address(5)));
+    assert_eq!(peers.better_informed(Time(20), &EraTracker::default(), 5), None);
 }
 
 #[test]
--- a/crates/portrack/tests/gateway/vacancies.rs
+++ b/crates/portrack/tests/gateway/vacancies.rs
@@ -2,10 +2,10 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    Candidates, ClaimAttempt, ClaimRecord, ClaimRecords, Claimant, Mirrored, Predecessor,
+    Candidates, ClaimAttempt, ClaimRecord, ClaimRecords, Claimant, MirrorChange, Predecessor,
     SeenRecord, UnclaimedServers,
 };
-use portrack::store::KvHeld;
+use portrack::store::KvEntry;
 use std::rc::Rc;
 
 const ME: &str = "n1";
@@ -62,8 +62,8 @@
 }
 
 /// A change of the store as the watch delivers it.
-fn put(key: &str, revision: u64, value: Vec<u8>) -> Mirrored {
-    Mirrored::Put(KvHeld { key: key.into(), revision, value })
+fn put(key: &str, revision: u64, value: Vec<u8>) -> MirrorChange {
+    MirrorChange::Put(KvEntry { key: key.into(), revision, value })
 }
 
 fn seen(machine: &str, settled: bool, resigned: bool) -> Option<SeenRecord> {
@@ -221,7 +221,7 @@
     assert!(records.apply(&put(&ClaimRecord::live_key(other), 3, Vec::new())));
     assert!(records.apply(&put(&ClaimRecord::key("s1"), 4, record.bytes())));
     assert_eq!(records.holder("s1"), Some(other));
-    assert!(records.apply(&Mirrored::Gone(ClaimRecord::live_key(other))));
+    assert!(records.apply(&MirrorChange::Removed(ClaimRecord::live_key(other))));
     assert_eq!(records.holder("s1"), None, "its lease is over");
     assert_eq!(records.record("s1").map(|seen| seen.revision), Some(4));
     assert!(!records.apply(&put("op/config", 5, Vec::new())), "no claim");
--- a/crates/portrack/tests/leases.rs
+++ b/crates/portrack/tests/leases.rs
@@ -1,7 +1,7 @@
 //! The lease of engines that check no fence: its time check is what keeps two owners apart.
 
 use portrack::daemon::{LEASE_TTL, Leases, ORDER_WITHIN};
-use portrack::store::{Kv, KvError, KvHeld, KvList, KvPut, LocalFuture};
+use portrack::store::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
 use portrack::types::{Clock, EngineName, ManualClock};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
 }
 
 impl Kv for Store {
-    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvHeld>, KvError>> {
+    fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvEntry>, KvError>> {
         let held = self.keys.borrow().get(key).cloned();
-        let held = held.map(|(revision, value)| KvHeld { key: key.into(), revision, value });
+        let held = held.map(|(revision, value)| KvEntry { key: key.into(), revision, value });
         Box::pin(async move { Ok(held) })
     }
     fn list<'a>(&'a self, _: &'a str) -> LocalFuture<'a, Result<KvList, KvError>> {
@@ -38,7 +38,7 @@
         _: &'a str,
         _: u64,
         _: Duration,
-    ) -> LocalFuture<'a, Result<Vec<KvHeld>, KvError>> {
+    ) -> LocalFuture<'a, Result<Vec<KvEntry>, KvError>> {
         Box::pin(async { Err(KvError::Unavailable) })
     }
     fn grant_lease(&self, _: Duration) -> LocalFuture<'_, Result<u64, KvError>> {
