--- a/crates/portrack-bench/src/adapters/gateway.rs
+++ b/crates/portrack-bench/src/adapters/gateway.rs
@@ -6,8 +6,8 @@
 use super::trace::Request;
 use portrack::Time;
 use portrack::gateway::{
-    AdapterKey, Backend, EngineSpec, FleetConfig, HeldModel, Home, ModelSpec, Plan, PlanOutcome,
-    PlannedLoad, Planner, ServerReport, Service, home,
+    AdapterKey, Backend, EngineSpec, FleetConfig, HeldModel, LoadTarget, ModelSpec, Plan,
+    PlanOutcome, PlannedLoad, Planner, ServerReport, Service, choose_load_target,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -171,19 +171,19 @@
             self.wished.insert(request.adapter, last);
             return;
         }
-        let homes: Vec<Home> = self
+        let homes: Vec<LoadTarget> = self
             .servers
             .iter()
             .enumerate()
-            .map(|(n, id)| Home {
+            .map(|(n, id)| LoadTarget {
                 server: id.clone(),
                 slots: SLOTS,
                 cost: servers.running(n) as f64,
-                at_hand: false,
+                is_cached: false,
                 is_near: true,
             })
             .collect();
-        if let Some(server) = home(&key(request.adapter), &homes) {
+        if let Some(server) = choose_load_target(&key(request.adapter), &homes) {
             let daemon = self.index(&server) % DAEMONS;
             self.planners[daemon].request_load(Time(now), &server, &key(request.adapter), 1, 1);
         }
--- a/crates/portrack-bench/src/arrivals/play.rs
+++ b/crates/portrack-bench/src/arrivals/play.rs
@@ -4,8 +4,8 @@
 use super::ways::{LEASE_MS, LEASE_TOKENS, Way};
 use portrack::Time;
 use portrack::gateway::{
-    AskId, ColdBound, ColdRule, ColdStart, GrantAnswer, GrantAsk, GrantEnd, GrantOrder, Granter,
-    OwnShares, ReadingPace, ServerRule,
+    CallId, ColdBound, ColdRule, ColdStart, FallbackShares, GrantAnswer, GrantEnd, GrantReply,
+    GrantRequest, Granter, PrefillRate, ServerRule,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -60,7 +60,7 @@
 }
 
 enum Event {
-    Ask(usize, GrantAsk, usize),
+    Ask(usize, GrantRequest, usize),
     Answer(u32, GrantAnswer),
     Ended(usize, u32, GrantEnd),
     Arrive(u32),
@@ -86,8 +86,8 @@
     random: SmallRng,
     engines: Vec<Engine>,
     granters: Vec<Granter>,
-    shares: Vec<OwnShares>,
-    pace: ReadingPace,
+    shares: Vec<FallbackShares>,
+    pace: PrefillRate,
     requests: Vec<Request>,
     asks: HashMap<u32, usize>,
     leases: HashMap<(usize, usize), (u64, u32)>,
@@ -112,7 +112,7 @@
     let start = ColdStart { duration: Duration::from_secs(3), per_second: 8.5 };
     let bound = ColdBound::new(&start, 1.5, 5.0);
     ServerRule {
-        cold: Some(ColdRule { bound, cold: is_cold(server), stands_in: false }),
+        cold: Some(ColdRule { bound, cold: is_cold(server), is_stand_in: false }),
         limit: None,
     }
 }
@@ -121,8 +121,8 @@
     /// A play of as many servers as the users' largest site has for its nodes.
     pub fn new(nodes: usize, way: Way, trouble: Trouble, seed: u64) -> Self {
         let servers = (nodes * 3 / 2).max(4);
-        let mut shares = OwnShares::new(Time(0));
-        shares.know(Time(0), (0..nodes).map(address));
+        let mut shares = FallbackShares::new(Time(0));
+        shares.update_daemons(Time(0), (0..nodes).map(address));
         Self {
             nodes,
             way,
@@ -131,7 +131,7 @@
             engines: (0..servers).map(|_| Engine::default()).collect(),
             granters: (0..servers * 2).map(|_| Granter::new(Time(0))).collect(),
             shares: vec![shares; nodes],
-            pace: ReadingPace::default(),
+            pace: PrefillRate::default(),
             requests: Vec::new(),
             asks: HashMap::new(),
             leases: HashMap::new(),
@@ -194,7 +194,7 @@
             if now.is_multiple_of(20) {
                 for granter in 0..self.granters.len() {
                     let rule = rule(granter / 2);
-                    let orders = self.granters[granter].pass_time(Time(now), &rule, PACE);
+                    let orders = self.granters[granter].tick(Time(now), &rule, PACE);
                     self.answer(now, orders);
                 }
             }
@@ -253,7 +253,7 @@
         let granter = server * 2 + usize::from(second);
         self.requests[request].asks.push((ask, granter, server));
         let tokens = if self.way == Way::Leases { tokens.max(LEASE_TOKENS) } else { tokens };
-        let question = GrantAsk {
+        let question = GrantRequest {
             ask,
             server: server as u32,
             organisation: None,
@@ -280,7 +280,7 @@
             Event::Answer(ask, answer) => self.answered(now, ask, answer),
             Event::Ended(granter, ask, end) => {
                 let from = address(self.requests[self.asks[&ask]].node);
-                let (id, rule) = (AskId { from, ask }, rule(granter / 2));
+                let (id, rule) = (CallId { from, call: ask }, rule(granter / 2));
                 let pace = &mut self.pace;
                 let orders = self.granters[granter].ended(Time(now), id, end, &rule, pace);
                 self.answer(now, orders);
@@ -290,10 +290,10 @@
         }
     }
 
-    fn answer(&mut self, now: u64, orders: Vec<GrantOrder>) {
+    fn answer(&mut self, now: u64, orders: Vec<GrantReply>) {
         for (id, answer) in orders {
-            let node = self.requests[self.asks[&id.ask]].node;
-            self.tell(now, node, || Event::Answer(id.ask, answer));
+            let node = self.requests[self.asks[&id.call]].node;
+            self.tell(now, node, || Event::Answer(id.call, answer));
         }
     }
 
--- a/crates/portrack/src/gateway/admission/quotas.rs
+++ b/crates/portrack/src/gateway/admission/quotas.rs
@@ -21,7 +21,7 @@
 /// The longest wait for an accountant, which is of the same data hall. The way there and back takes half a
 /// millisecond; a processor that has used up its share of a tenth of a second pauses for the rest of it,
 /// at either end.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(200);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Accountants that one request asks.
 const TRIES: usize = 2;
 /// One that did not answer is not asked for so long: one lost datagram in twenty must not leave a node to
@@ -221,7 +221,7 @@
         let (answered, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(ask, answered);
         self.messenger.send(&PeerMessage::Quota(QuotaMessage::Ask(question)), accountant);
-        let answer = actix_rt::time::timeout(ANSWER_PATIENCE, answer).await;
+        let answer = actix_rt::time::timeout(ANSWER_TIMEOUT, answer).await;
         self.waiting.borrow_mut().remove(&ask);
         answer.ok()?.ok()
     }
--- a/crates/portrack/src/gateway/arrivals/asks.rs
+++ b/crates/portrack/src/gateway/arrivals/asks.rs
@@ -9,28 +9,28 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 /// A daemon that says nothing for so long is taken for gone.
-pub const ANSWER_PATIENCE: Duration = Duration::from_millis(60);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// A daemon that did not answer is not asked for so long.
 const SHUNNED_FOR: Duration = Duration::from_millis(2_000);
 
 /// A request that asks, by its daemon and that daemon's count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AskId {
+pub struct CallId {
     /// Who asks.
     pub from: SocketAddr,
     /// Its count of requests.
-    pub ask: u32,
+    pub call: u32,
 }
 
 /// The questions that wait for an answer, by this daemon's count.
 #[derive(Debug)]
-pub struct Asks<A> {
+pub struct PendingCalls<A> {
     waiting: RefCell<HashMap<u32, UnboundedSender<A>>>,
     asked: Cell<u32>,
     shunned: UnresponsiveDaemons,
 }
 
-impl<A> Default for Asks<A> {
+impl<A> Default for PendingCalls<A> {
     fn default() -> Self {
         Self {
             waiting: RefCell::default(),
@@ -40,7 +40,7 @@
     }
 }
 
-impl<A> Asks<A> {
+impl<A> PendingCalls<A> {
     /// The count of a new question, and where its answers come.
     pub fn open(&self) -> (u32, UnboundedReceiver<A>) {
         let ask = self.asked.get().wrapping_add(1);
@@ -63,12 +63,12 @@
     }
 
     /// Leaves a daemon alone for a while that did not answer.
-    pub fn shun(&self, now: Time, daemon: SocketAddr) {
+    pub fn avoid(&self, now: Time, daemon: SocketAddr) {
         self.shunned.avoid(daemon, now + SHUNNED_FOR);
     }
 
     /// True if a daemon is left alone.
-    pub fn shuns(&self, now: Time, daemon: SocketAddr) -> bool {
+    pub fn is_avoided(&self, now: Time, daemon: SocketAddr) -> bool {
         self.shunned.contains(now, daemon)
     }
 }
--- a/crates/portrack/src/gateway/arrivals/cold.rs
+++ b/crates/portrack/src/gateway/arrivals/cold.rs
@@ -65,13 +65,13 @@
     pub cold: bool,
     /// Another daemon comes before this one as its granter, and did not answer somebody in time: it may
     /// go on giving its own part to others.
-    pub stands_in: bool,
+    pub is_stand_in: bool,
 }
 
 impl ColdRule {
     /// The most that this granter lets arrive in any second.
     pub fn most(&self) -> usize {
-        match (self.cold, self.stands_in) {
+        match (self.cold, self.is_stand_in) {
             // The first may take the server for warm.
             (true, true) => self.bound.while_cold().min(self.bound.while_new().max(1)),
             (true, false) => self.bound.while_cold(),
--- a/crates/portrack/src/gateway/arrivals/fairness.rs
+++ b/crates/portrack/src/gateway/arrivals/fairness.rs
@@ -6,7 +6,7 @@
 /// The place of the waiting request that has to go: the last of the organisation that has most of them,
 /// by the order given with each; the newest, which comes last, if none has several. Requests of nobody
 /// known are no organisation's: together they would always have most.
-pub fn makes_way<K: Ord>(waiting: &[(Option<OrganisationMark>, K)]) -> usize {
+pub fn choose_evicted<K: Ord>(waiting: &[(Option<OrganisationMark>, K)]) -> usize {
     let mut counts: BTreeMap<OrganisationMark, usize> = BTreeMap::new();
     for mark in waiting.iter().filter_map(|(mark, _)| *mark) {
         *counts.entry(mark).or_default() += 1;
--- a/crates/portrack/src/gateway/arrivals/granter.rs
+++ b/crates/portrack/src/gateway/arrivals/granter.rs
@@ -1,12 +1,12 @@
 //! Decides when requests may be sent to one server.
 
-use super::asks::AskId;
+use super::asks::CallId;
 use super::cold::{ColdRule, ColdWindow};
-use super::fairness::{FairShares, makes_way};
-use super::message::{GrantAnswer, GrantAsk, GrantEnd, GrantOrder};
-use super::pace::{ReadingPace, reading_time};
-use super::promises::Promises;
-use super::reading::{ReadingLimit, ReadingWindow};
+use super::fairness::{FairShares, choose_evicted};
+use super::message::{GrantAnswer, GrantEnd, GrantReply, GrantRequest};
+use super::pace::{PrefillRate, reading_time};
+use super::promises::RetryScheduler;
+use super::reading::{PrefillLimit, PrefillWindow};
 use crate::gateway::admission::OrganisationMark;
 use crate::gateway::backpressure::bucket::{LimitRule, RateBucket};
 use crate::types::Time;
@@ -50,8 +50,8 @@
 
 #[derive(Debug, Clone)]
 struct Waiting {
-    id: AskId,
-    ask: GrantAsk,
+    id: CallId,
+    ask: GrantRequest,
     since: Time,
     /// It is late if it is sent after this, reckoned with the reading of its prompt.
     late_at: Time,
@@ -60,7 +60,7 @@
 }
 
 impl Waiting {
-    fn new(now: Time, id: AskId, ask: GrantAsk, pace: f64, begins: f64) -> Self {
+    fn new(now: Time, id: CallId, ask: GrantRequest, pace: f64, begins: f64) -> Self {
         let reading = reading_time(f64::from(ask.tokens), pace);
         let left = Duration::from_millis(ask.left_ms.into()).saturating_sub(reading);
         Self { id, ask, since: now, late_at: now + left, begins }
@@ -86,24 +86,24 @@
 /// One server's granter.
 #[derive(Debug)]
 pub struct Granter {
-    given: HashMap<AskId, Given>,
+    given: HashMap<CallId, Given>,
     /// Requests that ended lately: an ask that comes after that, late or doubled, is nobody's.
-    over: HashMap<AskId, Time>,
+    over: HashMap<CallId, Time>,
     waiting: Vec<Waiting>,
     cold: ColdWindow,
     limit: RateBucket,
-    reading: ReadingWindow,
-    promises: Promises,
+    reading: PrefillWindow,
+    promises: RetryScheduler,
     shares: FairShares,
 }
 
 /// What a request costs a server: its prompt, or itself where prompts are not read.
-fn work(ask: &GrantAsk) -> f64 {
+fn work(ask: &GrantRequest) -> f64 {
     if ask.gap_ms > 0 { f64::from(ask.tokens) } else { 1.0 }
 }
 
 /// What an organisation may have ahead of the others' next: what is read within one pause.
-fn round_work(ask: &GrantAsk, pace: f64) -> f64 {
+fn round_work(ask: &GrantRequest, pace: f64) -> f64 {
     Granter::limit(ask, pace).map_or(REQUESTS_A_ROUND, |limit| limit.tokens)
 }
 
@@ -116,16 +116,16 @@
             waiting: Vec::new(),
             cold: ColdWindow::new(now),
             limit: RateBucket::default(),
-            reading: ReadingWindow::default(),
-            promises: Promises::default(),
+            reading: PrefillWindow::default(),
+            promises: RetryScheduler::default(),
             shares: FairShares::default(),
         }
     }
 
-    fn limit(ask: &GrantAsk, pace: f64) -> Option<ReadingLimit> {
+    fn limit(ask: &GrantRequest, pace: f64) -> Option<PrefillLimit> {
         let span = Duration::from_millis(ask.gap_ms.into());
         let event = Duration::from_millis(ask.event_ms.into());
-        (ask.gap_ms > 0).then(|| ReadingLimit::new(span, event, pace))
+        (ask.gap_ms > 0).then(|| PrefillLimit::new(span, event, pace))
     }
 
     fn has_room(&mut self, now: Time, rule: &ServerRule) -> bool {
@@ -142,13 +142,13 @@
         self.given.values().filter(age).map(|given| f64::from(given.tokens)).sum()
     }
 
-    fn fits(&self, now: Time, ask: &GrantAsk, pace: f64) -> bool {
+    fn fits(&self, now: Time, ask: &GrantRequest, pace: f64) -> bool {
         Self::limit(ask, pace).is_none_or(|limit| {
             self.reading.fits(now, ask.tokens, self.unread(now, limit.span), &limit)
         })
     }
 
-    fn give(&mut self, now: Time, id: AskId, ask: &GrantAsk, pace: f64) -> GrantOrder {
+    fn give(&mut self, now: Time, id: CallId, ask: &GrantRequest, pace: f64) -> GrantReply {
         let backlog = self.reading.backlog(now);
         if let Some(limit) = Self::limit(ask, pace) {
             self.reading.take(now, ask.tokens, &limit);
@@ -168,11 +168,11 @@
         &mut self,
         now: Time,
         from: SocketAddr,
-        ask: GrantAsk,
+        ask: GrantRequest,
         rule: &ServerRule,
         pace: f64,
-    ) -> Vec<GrantOrder> {
-        let id = AskId { from, ask: ask.ask };
+    ) -> Vec<GrantReply> {
+        let id = CallId { from, call: ask.ask };
         let waits = self.waiting.iter().any(|waiting| waiting.id == id);
         if waits || self.given.contains_key(&id) || self.over.contains_key(&id) {
             return Vec::new();
@@ -186,7 +186,7 @@
         self.deal_beginnings(now);
         let refused = self.over_bounds(now, rule, pace);
         let refused = refused.map(|place| self.give_up(place));
-        let mut orders: Vec<GrantOrder> = Vec::new();
+        let mut orders: Vec<GrantReply> = Vec::new();
         if let Some(refused) = refused {
             orders.push((refused, self.refusal(now, rule, pace)));
         }
@@ -196,7 +196,7 @@
         orders
     }
 
-    fn give_up(&mut self, place: usize) -> AskId {
+    fn give_up(&mut self, place: usize) -> CallId {
         let gone = self.waiting.remove(place);
         self.shares.give_up(gone.ask.organisation, work(&gone.ask));
         gone.id
@@ -254,7 +254,7 @@
         (turn, reading)
     }
 
-    fn wait_ms(&mut self, now: Time, id: AskId, rule: &ServerRule, pace: f64) -> u32 {
+    fn wait_ms(&mut self, now: Time, id: CallId, rule: &ServerRule, pace: f64) -> u32 {
         let order = self.turn_order(now, pace);
         let Some(at) = order.iter().position(|place| self.waiting[*place].id == id) else {
             return 0;
@@ -284,7 +284,7 @@
         let waiting = self.waiting.iter().enumerate();
         let waiting: Vec<_> =
             waiting.map(|(place, waiting)| (waiting.ask.organisation, turn(place))).collect();
-        Some(makes_way(&waiting))
+        Some(choose_evicted(&waiting))
     }
 
     /// The place of the newest of the least urgent requests: the urgent have their part of a limit below what is asked for, and
@@ -323,11 +323,11 @@
     pub fn ended(
         &mut self,
         now: Time,
-        id: AskId,
+        id: CallId,
         end: GrantEnd,
         rule: &ServerRule,
-        pace: &mut ReadingPace,
-    ) -> Vec<GrantOrder> {
+        pace: &mut PrefillRate,
+    ) -> Vec<GrantReply> {
         if let Some(place) = self.waiting.iter().position(|waiting| waiting.id == id) {
             self.give_up(place);
         }
@@ -338,7 +338,7 @@
         self.turns(now, rule, pace.get())
     }
 
-    fn note(&mut self, now: Time, given: Given, end: GrantEnd, pace: &mut ReadingPace) {
+    fn note(&mut self, now: Time, given: Given, end: GrantEnd, pace: &mut PrefillRate) {
         match end {
             GrantEnd::Begun(millis) => {
                 self.cold.arrived(now);
@@ -359,7 +359,7 @@
     }
 
     /// Those whose turn it is, and those for which nobody waits any more.
-    fn turns(&mut self, now: Time, rule: &ServerRule, pace: f64) -> Vec<GrantOrder> {
+    fn turns(&mut self, now: Time, rule: &ServerRule, pace: f64) -> Vec<GrantReply> {
         let mut orders = Vec::new();
         self.deal_beginnings(now);
         let order = self.turn_order(now, pace);
@@ -385,7 +385,7 @@
     }
 
     /// Lets time pass.
-    pub fn pass_time(&mut self, now: Time, rule: &ServerRule, pace: f64) -> Vec<GrantOrder> {
+    pub fn tick(&mut self, now: Time, rule: &ServerRule, pace: f64) -> Vec<GrantReply> {
         self.over.retain(|_, at| now.since(*at) < OVER_KEPT);
         self.given.retain(|_, given| now.since(given.at) < FORGOTTEN_AFTER);
         if self.waiting.is_empty() { Vec::new() } else { self.turns(now, rule, pace) }
--- a/crates/portrack/src/gateway/arrivals/grants.rs
+++ b/crates/portrack/src/gateway/arrivals/grants.rs
@@ -1,16 +1,15 @@
 //! Asks the granters of servers on behalf of requests, and is the granter of some for other daemons.
 
-use super::asks::{ANSWER_PATIENCE, AskId, Asks, next_answer};
+use super::asks::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
 use super::granter::{Granter, ServerRule};
 use super::guard::{GrantGuard, WaitingGrant};
-use super::message::{GrantAnswer, GrantAsk, GrantEnd, GrantMessage, GrantOrder};
-use super::pace::ReadingPace;
+use super::message::{GrantAnswer, GrantEnd, GrantMessage, GrantReply, GrantRequest};
+use super::pace::PrefillRate;
 use super::quantile::Quantile;
-use super::share::OwnShares;
+use super::share::FallbackShares;
 use crate::gateway::admission::{OrganisationMark, StoreProof};
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::backpressure::tracker::Backpressure;
-use crate::gateway::choosing::load::LoadTable;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::cold_start_tracker::ColdStartTracker;
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
@@ -18,6 +17,7 @@
 use crate::gateway::fleet::messenger::Messenger;
 use crate::gateway::fleet::regions::Regions;
 use crate::gateway::fleet::view::FleetView;
+use crate::gateway::selection::load::LoadTable;
 use crate::types::{Clock, Time};
 use prometheus::{Histogram, IntCounterVec};
 use std::cell::{Cell, RefCell};
@@ -75,7 +75,7 @@
 }
 
 /// What grants hang on.
-pub struct GrantParts {
+pub struct GrantDeps {
     /// The monotonic clock.
     pub clock: Rc<dyn Clock>,
     /// What is known of the fleet.
@@ -134,13 +134,13 @@
     pub(super) cold_slack: f64,
     metrics: GrantMetrics,
     /// Loads of servers are known late.
-    pub loads_lag: Cell<bool>,
+    pub loads_are_delayed: Cell<bool>,
     /// Daemons known of lately, silent ones and this one included.
     pub(super) known: Cell<usize>,
-    pub(super) shares: RefCell<OwnShares>,
-    pub(super) asks: Asks<GrantAnswer>,
+    pub(super) shares: RefCell<FallbackShares>,
+    pub(super) asks: PendingCalls<GrantAnswer>,
     servers: RefCell<HashMap<u32, GrantedServer>>,
-    paces: RefCell<HashMap<Rc<str>, ReadingPace>>,
+    paces: RefCell<HashMap<Rc<str>, PrefillRate>>,
     events: RefCell<HashMap<Rc<str>, Quantile>>,
     /// Granters found lately, by the server and whether it names a limit.
     found: RefCell<HashMap<(u32, bool), (Time, SocketAddr)>>,
@@ -149,7 +149,7 @@
 
 impl Grants {
     /// Nothing granted yet.
-    pub fn new(parts: GrantParts) -> Self {
+    pub fn new(parts: GrantDeps) -> Self {
         let started_at = parts.clock.now();
         Self {
             clock: parts.clock,
@@ -165,10 +165,10 @@
             cold_ratio: parts.cold_ratio,
             cold_slack: parts.cold_slack,
             metrics: parts.metrics,
-            loads_lag: Cell::new(false),
+            loads_are_delayed: Cell::new(false),
             known: Cell::new(1),
-            shares: RefCell::new(OwnShares::new(started_at)),
-            asks: Asks::default(),
+            shares: RefCell::new(FallbackShares::new(started_at)),
+            asks: PendingCalls::default(),
             servers: RefCell::default(),
             paces: RefCell::default(),
             events: RefCell::default(),
@@ -178,11 +178,11 @@
     }
 
     /// Takes in which daemons are known, silent ones among them.
-    pub fn know(&self, daemons: impl Iterator<Item = SocketAddr>) {
+    pub fn update_daemons(&self, daemons: impl Iterator<Item = SocketAddr>) {
         let daemons: Vec<SocketAddr> = daemons.collect();
         self.known.set(daemons.len() + 1);
         let daemons = daemons.into_iter();
-        self.shares.borrow_mut().know(self.clock.now(), daemons);
+        self.shares.borrow_mut().update_daemons(self.clock.now(), daemons);
     }
 
     /// The granter of a server, as it was found a moment ago or is found now.
@@ -194,7 +194,7 @@
             return Some(*granter);
         }
         let granter = self.first_granter(backend, |daemon| {
-            !self.asks.shuns(now, daemon.address) && !self.loads.is_hall_silent(&daemon.hall)
+            !self.asks.is_avoided(now, daemon.address) && !self.loads.is_hall_silent(&daemon.hall)
         })?;
         self.found.borrow_mut().insert(key, (now, granter));
         Some(granter)
@@ -210,7 +210,7 @@
         let (ask, mut answers) = self.asks.open();
         let reader = (backend.service.clone(), need.tokens);
         let guard = GrantGuard::new(self.clone(), granter, server, ask, reader);
-        let question = GrantAsk {
+        let question = GrantRequest {
             ask,
             server,
             organisation: need.organisation,
@@ -225,8 +225,8 @@
         self.send(granter, GrantMessage::Ask(question));
         // The way to another region and back takes some of the time.
         let patience = match self.regions.is_own(&backend.hall) {
-            true => ANSWER_PATIENCE,
-            false => ANSWER_PATIENCE * 2,
+            true => ANSWER_TIMEOUT,
+            false => ANSWER_TIMEOUT * 2,
         };
         let answer = next_answer(&mut answers, patience).await;
         // A daemon that stood still meanwhile does not know how old the answer is.
@@ -243,10 +243,10 @@
         most: Duration,
     ) -> GrantOutcome {
         let began = self.clock.now();
-        let patience = most + ANSWER_PATIENCE;
+        let patience = most + ANSWER_TIMEOUT;
         let answer = next_answer(&mut waiting.answers, patience).await;
         // A daemon that stood still meanwhile would send all that waited at once, long after the grants.
-        let in_time = self.clock.now().since(began) < patience + ANSWER_PATIENCE;
+        let in_time = self.clock.now().since(began) < patience + ANSWER_TIMEOUT;
         let answer = answer.filter(|answer| in_time && !matches!(answer, GrantAnswer::Waits(_)));
         self.take_answer(backend, waiting.guard, waiting.answers, answer)
     }
@@ -283,10 +283,10 @@
             }
             None => {
                 // Once in the time for which a daemon is left alone.
-                if !self.asks.shuns(now, guard.granter) {
+                if !self.asks.is_avoided(now, guard.granter) {
                     log::warn!(server = &*backend.id, granter:% = guard.granter; "grant_unanswered");
                 }
-                self.asks.shun(now, guard.granter);
+                self.asks.avoid(now, guard.granter);
                 self.found.borrow_mut().clear();
                 ("unanswered", GrantOutcome::Unanswered)
             }
@@ -297,7 +297,7 @@
 
     /// How long a server of a service reads a prompt of average length; zero if that is not known.
     pub fn reads(&self, service: &Rc<str>) -> Duration {
-        self.paces.borrow().get(service).map_or(Duration::ZERO, ReadingPace::reads)
+        self.paces.borrow().get(service).map_or(Duration::ZERO, PrefillRate::reads)
     }
 
     /// A prompt was read within so long by a server that was reading nothing else.
@@ -343,7 +343,7 @@
     }
 
     /// The events of a stream came so far apart on average.
-    pub fn note_event(&self, service: &Rc<str>, apart: Duration) {
+    pub fn record_event_gap(&self, service: &Rc<str>, apart: Duration) {
         if let Some(event) = self.events.borrow_mut().get_mut(service) {
             event.observe(apart.as_secs_f64() * 1_000.0);
         }
@@ -363,7 +363,7 @@
             GrantMessage::Ask(ask) => self.on_ask(ask, from),
             GrantMessage::Answer(ask, answer) => self.asks.answer(ask, answer),
             GrantMessage::Ended(server, ask, end) => {
-                let id = AskId { from, ask };
+                let id = CallId { from, call: ask };
                 if matches!(end, GrantEnd::Lost | GrantEnd::Unreachable) {
                     self.doubt(server);
                 }
@@ -385,7 +385,7 @@
     }
 
     /// Who does not know the server leaves the asking daemon to itself.
-    fn on_ask(&self, ask: GrantAsk, from: SocketAddr) {
+    fn on_ask(&self, ask: GrantRequest, from: SocketAddr) {
         if let Some(report) = &ask.limit {
             self.on_limits(std::slice::from_ref(report));
         }
@@ -399,7 +399,7 @@
         &self,
         server: u32,
         begin: bool,
-        decide: impl FnOnce(Time, &mut Granter, &ServerRule, &mut ReadingPace) -> Vec<GrantOrder>,
+        decide: impl FnOnce(Time, &mut Granter, &ServerRule, &mut PrefillRate) -> Vec<GrantReply>,
     ) {
         let now = self.clock.now();
         let orders = {
@@ -437,14 +437,14 @@
         }
     }
 
-    fn carry_out(&self, orders: Vec<GrantOrder>) {
+    fn carry_out(&self, orders: Vec<GrantReply>) {
         for (id, answer) in orders {
-            self.send(id.from, GrantMessage::Answer(id.ask, answer));
+            self.send(id.from, GrantMessage::Answer(id.call, answer));
         }
     }
 
     /// Logs what is reckoned with; lets those have their turn that wait, and forgets grants whose end was never told.
-    pub fn pass_time(&self) {
+    pub fn tick(&self) {
         self.look_back(self.clock.now());
         let busy: Vec<u32> = {
             let servers = self.servers.borrow();
@@ -452,9 +452,7 @@
             busy.map(|(server, _)| *server).collect()
         };
         for server in busy {
-            self.at(server, false, |now, granter, rule, pace| {
-                granter.pass_time(now, rule, pace.get())
-            });
+            self.at(server, false, |now, granter, rule, pace| granter.tick(now, rule, pace.get()));
         }
     }
 }
--- a/crates/portrack/src/gateway/arrivals/knowing.rs
+++ b/crates/portrack/src/gateway/arrivals/knowing.rs
@@ -30,7 +30,7 @@
             let old = told && !self.proof.is_within(now, start.duration);
             let cold = old || self.coldness.borrow().is_cold(now, &backend.id, Some(&start));
             let bound = ColdBound::new(&start, self.cold_ratio, self.cold_slack);
-            ColdRule { bound, cold, stands_in: !self.comes_first(backend) }
+            ColdRule { bound, cold, is_stand_in: !self.comes_first(backend) }
         });
         ServerRule { cold, limit: self.limit_rule(backend) }
     }
@@ -80,7 +80,7 @@
         }
         let view = self.view.borrow();
         let Some(service) = view.service(&backend.service) else { return false };
-        service.cold.is_some() || (service.engine.is_some() && self.loads_lag.get())
+        service.cold.is_some() || (service.engine.is_some() && self.loads_are_delayed.get())
     }
 
     /// True if a server names a limit.
--- a/crates/portrack/src/gateway/arrivals/message.rs
+++ b/crates/portrack/src/gateway/arrivals/message.rs
@@ -1,6 +1,6 @@
 //! What daemons tell each other of grants.
 
-use super::asks::AskId;
+use super::asks::CallId;
 use crate::gateway::admission::OrganisationMark;
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::fleet::trailing_field::or_default;
@@ -8,7 +8,7 @@
 
 /// What a request needs of a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct GrantAsk {
+pub struct GrantRequest {
     /// The asking daemon's count.
     pub ask: u32,
     /// The server, by its mark.
@@ -44,7 +44,7 @@
 }
 
 /// An answer with the request it is for.
-pub type GrantOrder = (AskId, GrantAnswer);
+pub type GrantReply = (CallId, GrantAnswer);
 
 /// What became of a request that was granted, or waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum GrantMessage {
     /// To the granter.
-    Ask(GrantAsk),
+    Ask(GrantRequest),
     /// To the daemon that asked: its count, and the answer.
     Answer(u32, GrantAnswer),
     /// To the granter: the server, the daemon's count of the request, and how it went.
--- a/crates/portrack/src/gateway/arrivals/mod.rs
+++ b/crates/portrack/src/gateway/arrivals/mod.rs
@@ -4,7 +4,7 @@
 //! failed there; out go a grant, a wait of bounded length, or a refusal with the time to come back. A
 //! server that may be cold must never get more in a second than it bears, whoever sends and whatever is
 //! lost; for what a server reads, doubt costs time, never a request. [`Granter`] is a state machine
-//! without sockets; [`Grants`] asks and answers by datagrams; [`Asks`], [`Promises`] and [`makes_way`]
+//! without sockets; [`Grants`] asks and answers by datagrams; [`PendingCalls`], [`RetryScheduler`] and [`choose_evicted`]
 //! are shared with the dispatchers of small services.
 
 mod asks;
@@ -22,16 +22,16 @@
 mod reading;
 mod share;
 
-pub use asks::{ANSWER_PATIENCE, AskId, Asks, next_answer};
+pub use asks::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
 pub use cold::{ColdBound, ColdRule, ColdWindow};
-pub use fairness::makes_way;
+pub use fairness::choose_evicted;
 pub use granter::{Granter, ServerRule};
-pub use grants::{GrantMetrics, GrantNeed, GrantOutcome, GrantParts, Grants};
+pub use grants::{GrantDeps, GrantMetrics, GrantNeed, GrantOutcome, Grants};
 pub use guard::{GrantGuard, WaitingGrant};
-pub use message::{GrantAnswer, GrantAsk, GrantEnd, GrantMessage, GrantOrder};
-pub use note::GrantNote;
-pub use pace::ReadingPace;
-pub use promises::Promises;
+pub use message::{GrantAnswer, GrantEnd, GrantMessage, GrantReply, GrantRequest};
+pub use note::GrantTimings;
+pub use pace::PrefillRate;
+pub use promises::RetryScheduler;
 pub use quantile::Quantile;
-pub use reading::{ReadingLimit, ReadingWindow};
-pub use share::OwnShares;
+pub use reading::{PrefillLimit, PrefillWindow};
+pub use share::FallbackShares;
--- a/crates/portrack/src/gateway/arrivals/note.rs
+++ b/crates/portrack/src/gateway/arrivals/note.rs
@@ -6,14 +6,14 @@
 
 /// The grant of one request.
 #[derive(Debug, Default)]
-pub struct GrantNote {
+pub struct GrantTimings {
     /// Who gave it.
     pub granter: Cell<Option<SocketAddr>>,
     waited: Cell<Duration>,
     told: Cell<Duration>,
 }
 
-impl GrantNote {
+impl GrantTimings {
     /// It waited so long, on top of earlier tries.
     pub fn waited(&self, wait: Duration) {
         self.waited.set(self.waited.get() + wait);
--- a/crates/portrack/src/gateway/arrivals/pace.rs
+++ b/crates/portrack/src/gateway/arrivals/pace.rs
@@ -24,7 +24,7 @@
 /// The time to a first part grows with the tokens of the prompt by the time that one is read. All else
 /// is the same for long and short prompts: the way, the first step, a part of the prompt that is at hand.
 #[derive(Debug, Clone)]
-pub struct ReadingPace {
+pub struct PrefillRate {
     guess: Quantile,
     seen: u32,
     tokens: f64,
@@ -34,14 +34,14 @@
     covariance: f64,
 }
 
-impl Default for ReadingPace {
+impl Default for PrefillRate {
     fn default() -> Self {
         let guess = Quantile::new(PACE_SHARE, FIRST_PACE);
         Self { guess, seen: 0, tokens: 0.0, millis: 0.0, variance: 0.0, covariance: 0.0 }
     }
 }
 
-impl ReadingPace {
+impl PrefillRate {
     /// A prompt sent to a server that was reading nothing had its first part after so long.
     pub fn observe(&mut self, tokens: u32, millis: f64) {
         let tokens = f64::from(tokens);
--- a/crates/portrack/src/gateway/arrivals/reading.rs
+++ b/crates/portrack/src/gateway/arrivals/reading.rs
@@ -10,7 +10,7 @@
 
 /// How many tokens may begin within which time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadingLimit {
+pub struct PrefillLimit {
     /// The longest pause of an answer in time.
     pub span: Duration,
     /// Tokens that are read within it beside the steps of one event.
@@ -19,7 +19,7 @@
     pub pace: f64,
 }
 
-impl ReadingLimit {
+impl PrefillLimit {
     /// The limit where an event usually takes `event` of a pause of at most `span`.
     pub fn new(span: Duration, event: Duration, pace: f64) -> Self {
         let reading = span.saturating_sub(event).as_millis() as f64;
@@ -29,12 +29,12 @@
 
 /// What one server was let begin.
 #[derive(Debug, Clone, Default)]
-pub struct ReadingWindow {
+pub struct PrefillWindow {
     begun: VecDeque<(Time, f64)>,
     busy_until: Time,
 }
 
-impl ReadingWindow {
+impl PrefillWindow {
     /// Tokens begun within the last `span`.
     fn within(&self, now: Time, span: Duration) -> f64 {
         let recent = self.begun.iter().rev().take_while(|(at, _)| now.since(*at) < span);
@@ -44,20 +44,20 @@
     /// True if a prompt may begin. One that is longer than the limit begins where nothing else does.
     ///
     /// `unread` tokens began earlier and are not read yet: the server is slower than reckoned.
-    pub fn fits(&self, now: Time, tokens: u32, unread: f64, limit: &ReadingLimit) -> bool {
+    pub fn fits(&self, now: Time, tokens: u32, unread: f64, limit: &PrefillLimit) -> bool {
         let within = self.within(now, limit.span) + unread;
         within <= 0.0 || within + f64::from(tokens) <= limit.tokens
     }
 
     /// How long a prompt waits behind `ahead` other tokens that wait.
-    pub fn wait(&self, now: Time, ahead: f64, tokens: u32, limit: &ReadingLimit) -> Duration {
+    pub fn wait(&self, now: Time, ahead: f64, tokens: u32, limit: &PrefillLimit) -> Duration {
         let all = self.within(now, limit.span) + ahead + f64::from(tokens);
         let over = (all - limit.tokens).max(0.0);
         limit.span.mul_f64((over / limit.tokens.max(1.0)).min(1_000.0))
     }
 
     /// A prompt begins.
-    pub fn take(&mut self, now: Time, tokens: u32, limit: &ReadingLimit) {
+    pub fn take(&mut self, now: Time, tokens: u32, limit: &PrefillLimit) {
         while self.begun.front().is_some_and(|(at, _)| now.since(*at) >= limit.span) {
             self.begun.pop_front();
         }
--- a/crates/portrack/src/gateway/arrivals/share.rs
+++ b/crates/portrack/src/gateway/arrivals/share.rs
@@ -16,20 +16,20 @@
 
 /// This daemon's own share at each server.
 #[derive(Debug, Clone)]
-pub struct OwnShares {
+pub struct FallbackShares {
     started_at: Time,
     known: HashMap<SocketAddr, Time>,
     sent: HashMap<u32, Time>,
 }
 
-impl OwnShares {
+impl FallbackShares {
     /// Of a daemon that does not know what it sent before it started.
     pub fn new(started_at: Time) -> Self {
         Self { started_at, known: HashMap::new(), sent: HashMap::new() }
     }
 
     /// Takes in which daemons there are, silent ones among them.
-    pub fn know(&mut self, now: Time, daemons: impl Iterator<Item = SocketAddr>) {
+    pub fn update_daemons(&mut self, now: Time, daemons: impl Iterator<Item = SocketAddr>) {
         self.known.retain(|_, at| now.since(*at) < KNOWN_FOR);
         for daemon in daemons {
             if self.known.len() < MOST_KNOWN || self.known.contains_key(&daemon) {
--- a/crates/portrack/src/gateway/daemon.rs
+++ b/crates/portrack/src/gateway/daemon.rs
@@ -1,11 +1,9 @@
 //! One gateway daemon: the parts that its tasks share.
 
 use crate::gateway::admission::{KeyRules, Quotas, StoreProof};
-use crate::gateway::arrivals::{GrantMetrics, GrantParts, Grants};
+use crate::gateway::arrivals::{GrantDeps, GrantMetrics, Grants};
 use crate::gateway::backpressure::leaving::{LeavingDeps, LeavingServers};
 use crate::gateway::backpressure::tracker::{Backpressure, BackpressureDeps, BackpressureMetrics};
-use crate::gateway::choosing::demand::DemandLog;
-use crate::gateway::choosing::load::LoadTable;
 use crate::gateway::connections::answer::AnswerHead;
 use crate::gateway::connections::pool::Pool;
 use crate::gateway::dialect::Dialect;
@@ -27,6 +25,8 @@
 use crate::gateway::regions::traffic::RegionTraffic;
 use crate::gateway::requests::path::RequestPath;
 use crate::gateway::requests::retries::{RetryBounds, ServiceRetries};
+use crate::gateway::selection::demand::AdapterDemandTracker;
+use crate::gateway::selection::load::LoadTable;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::store_sync::era::EraTracker;
 use crate::gateway::store_sync::follower_feed::FollowerFeed;
@@ -207,7 +207,7 @@
             locality: locality.clone(),
             daemons: daemons_up.clone(),
         });
-        let grants = Grants::new(GrantParts {
+        let grants = Grants::new(GrantDeps {
             clock: clock.clone(),
             view: view.clone(),
             proof: proof.clone(),
@@ -261,11 +261,11 @@
             leaving: Rc::new(LeavingServers::new(leaving)),
             quarantine: Rc::new(quarantine),
             retries: RefCell::new(retries),
-            demand: Rc::new(DemandLog::default()),
+            demand: Rc::new(AdapterDemandTracker::default()),
             locality,
             traffic,
             daemons: Cell::new(1),
-            loads_lag: Cell::new(false),
+            loads_are_delayed: Cell::new(false),
             held_back: metrics.held_back.clone(),
             is_ordered: is_ordered(clock.clone(), order_executor.clone(), claim_holders.clone()),
         };
@@ -415,14 +415,14 @@
                 if let Some(backend) = view.backend(id) {
                     let entry = EntrySource::of(source);
                     self.path.coldness.borrow_mut().on_entry(now, backend, entry);
-                    self.path.loads.lives(id, backend.incarnation_hash());
+                    self.path.loads.set_incarnation(id, backend.incarnation_hash());
                     self.path.loads.set_one_cold(id, self.cold_server(now, &view, backend));
                     planner.update_server(now, backend);
                 }
             }
             ViewChange::Draining(id) => {
                 if let Some(backend) = view.backend(id) {
-                    self.path.loads.lives(id, backend.incarnation_hash());
+                    self.path.loads.set_incarnation(id, backend.incarnation_hash());
                     planner.update_server(now, backend);
                 }
                 self.path.pool.forget(id);
--- a/crates/portrack/src/gateway/dispatch/dispatcher.rs
+++ b/crates/portrack/src/gateway/dispatch/dispatcher.rs
@@ -5,9 +5,9 @@
 //! 24 requests queued there for 240 ms, and servers turned away 45% of what they got.
 
 use crate::gateway::admission::OrganisationMark;
-use crate::gateway::arrivals::{AskId, Promises, makes_way};
+use crate::gateway::arrivals::{CallId, RetryScheduler, choose_evicted};
 use crate::gateway::backpressure::bucket::{LimitRule, RateBucket};
-use crate::gateway::choosing::decay::Decayed;
+use crate::gateway::selection::decay::DecayingSum;
 use crate::types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -68,7 +68,7 @@
 }
 
 /// An answer with the request it is for.
-pub type SlotOrder = (AskId, SlotAnswer);
+pub type SlotOrder = (CallId, SlotAnswer);
 
 /// How a request at a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct Health {
-    failure_rate: Decayed,
+    failure_rate: DecayingSum,
     unreachable_until: Time,
 }
 
@@ -108,7 +108,7 @@
 
 #[derive(Debug, Clone)]
 struct Waiting {
-    id: AskId,
+    id: CallId,
     ask: SlotAsk,
     /// After that it cannot be in time.
     until: Time,
@@ -121,12 +121,12 @@
     health: HashMap<u32, Health>,
     /// What servers that name limits may get. It steers; each send there is granted besides, with those of others.
     limits: HashMap<u32, RateBucket>,
-    taken: HashMap<AskId, Taken>,
+    taken: HashMap<CallId, Taken>,
     waiting: Vec<Waiting>,
     /// How long requests run, on average, in milliseconds.
     run_ms: f64,
     /// When refused callers come back.
-    promises: Promises,
+    promises: RetryScheduler,
 }
 
 impl Default for Dispatcher {
@@ -138,7 +138,7 @@
             taken: HashMap::new(),
             waiting: Vec::new(),
             run_ms: FIRST_RUN.as_millis() as f64,
-            promises: Promises::default(),
+            promises: RetryScheduler::default(),
         }
     }
 }
@@ -208,7 +208,7 @@
     }
 
     /// A request goes to a server.
-    fn give(&mut self, now: Time, id: AskId, server: u32) -> SlotOrder {
+    fn give(&mut self, now: Time, id: CallId, server: u32) -> SlotOrder {
         self.taken.insert(id, Taken { server, since: now });
         if let Some(bucket) = self.limits.get_mut(&server).filter(|bucket| bucket.is_set()) {
             bucket.take(now);
@@ -223,7 +223,7 @@
 
     /// Decides on a request, or on another one that has to make way for it.
     pub fn ask(&mut self, now: Time, from: SocketAddr, ask: SlotAsk) -> Vec<SlotOrder> {
-        let id = AskId { from, ask: ask.ask };
+        let id = CallId { from, call: ask.ask };
         if self.taken.contains_key(&id) || self.waiting.iter().any(|waiting| waiting.id == id) {
             return Vec::new();
         }
@@ -252,7 +252,7 @@
     /// The place of the waiting request that has to go.
     fn one_too_many(&self) -> usize {
         let waiting = self.waiting.iter().map(|waiting| (waiting.ask.organisation, waiting.until));
-        makes_way(&waiting.collect::<Vec<_>>())
+        choose_evicted(&waiting.collect::<Vec<_>>())
     }
 
     fn refusal(&mut self, now: Time) -> SlotAnswer {
@@ -261,7 +261,7 @@
     }
 
     /// A request at a server has ended; tells which others have their turn.
-    pub fn ended(&mut self, now: Time, id: AskId, end: SlotEnd) -> Vec<SlotOrder> {
+    pub fn ended(&mut self, now: Time, id: CallId, end: SlotEnd) -> Vec<SlotOrder> {
         self.waiting.retain(|waiting| waiting.id != id);
         if let Some(taken) = self.taken.remove(&id) {
             self.note(now, taken, end);
--- a/crates/portrack/src/gateway/dispatch/slots.rs
+++ b/crates/portrack/src/gateway/dispatch/slots.rs
@@ -3,9 +3,8 @@
 use super::dispatcher::{Dispatcher, ServerSlots, SlotAnswer, SlotAsk, SlotEnd, SlotOrder};
 use super::whom::{Whom, dispatchers};
 use crate::gateway::admission::OrganisationMark;
-use crate::gateway::arrivals::{ANSWER_PATIENCE, AskId, Asks, next_answer};
+use crate::gateway::arrivals::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
 use crate::gateway::backpressure::tracker::Backpressure;
-use crate::gateway::choosing::load::{LoadTable, server_mark};
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
 use crate::gateway::fleet::message::PeerMessage;
@@ -13,6 +12,7 @@
 use crate::gateway::fleet::view::FleetView;
 use crate::gateway::regions::locality::Locality;
 use crate::gateway::requests::caller::{RefusalReason, Refused};
+use crate::gateway::selection::load::{LoadTable, server_hash};
 use crate::types::Clock;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -72,19 +72,19 @@
 pub struct Slots {
     parts: SlotParts,
     dispatchers: RefCell<HashMap<u32, Dispatcher>>,
-    asks: Asks<SlotAnswer>,
+    asks: PendingCalls<SlotAnswer>,
 }
 
 impl Slots {
     /// Slots of which none is taken.
     pub fn new(parts: SlotParts) -> Self {
-        Self { parts, dispatchers: RefCell::default(), asks: Asks::default() }
+        Self { parts, dispatchers: RefCell::default(), asks: PendingCalls::default() }
     }
 
     /// The servers of a service that take work, if it is small enough for a dispatcher, with their halls.
     fn servers(&self, service: u32) -> Option<Vec<(Rc<str>, ServerSlots)>> {
         let view = self.parts.view.borrow();
-        let name = view.config()?.services.keys().find(|name| server_mark(name) == service)?;
+        let name = view.config()?.services.keys().find(|name| server_hash(name) == service)?;
         let open = view.open_backends(name);
         let servers: Vec<_> =
             open.map(|backend| (backend.hall.clone(), self.slots_of(backend))).collect();
@@ -115,7 +115,8 @@
         let halls: Vec<Rc<str>> = left.map(|(hall, _)| hall).collect();
         let now = self.parts.clock.now();
         let fits = |daemon: &DaemonInfo| {
-            !self.asks.shuns(now, daemon.address) && !self.parts.loads.is_hall_silent(&daemon.hall)
+            !self.asks.is_avoided(now, daemon.address)
+                && !self.parts.loads.is_hall_silent(&daemon.hall)
         };
         Some(dispatchers(
             service.into(),
@@ -133,7 +134,7 @@
         service: &str,
         need: SlotNeed,
     ) -> Result<Option<SlotGuard>, Refused> {
-        let service = server_mark(service);
+        let service = server_hash(service);
         let began = self.parts.clock.now();
         let mut refused = None;
         for whom in self.whom(service, &need.tried).unwrap_or_default() {
@@ -186,7 +187,7 @@
                 Err(Refused::new(RefusalReason::Busy, Some(after)))
             }
             Some(SlotAnswer::Waits) | None => {
-                self.asks.shun(self.parts.clock.now(), dispatcher);
+                self.asks.avoid(self.parts.clock.now(), dispatcher);
                 Ok(None)
             }
         }
@@ -227,7 +228,7 @@
                 let orders = {
                     let mut dispatchers = self.dispatchers.borrow_mut();
                     let Some(dispatcher) = dispatchers.get_mut(&service) else { return };
-                    dispatcher.ended(now, AskId { from, ask }, end)
+                    dispatcher.ended(now, CallId { from, call: ask }, end)
                 };
                 self.carry_out(orders);
             }
@@ -236,7 +237,7 @@
 
     fn carry_out(&self, orders: Vec<SlotOrder>) {
         for (id, answer) in orders {
-            self.send(id.from, SlotMessage::Answer(id.ask, answer));
+            self.send(id.from, SlotMessage::Answer(id.call, answer));
         }
     }
 
@@ -257,7 +258,7 @@
     way: Duration,
     left: Duration,
 ) -> Option<SlotAnswer> {
-    let patience = ANSWER_PATIENCE + way;
+    let patience = ANSWER_TIMEOUT + way;
     let first = next_answer(answers, patience).await?;
     if first != SlotAnswer::Waits {
         return Some(first);
--- a/crates/portrack/src/gateway/evacuation/changes.rs
+++ b/crates/portrack/src/gateway/evacuation/changes.rs
@@ -68,7 +68,7 @@
         let view = self.path.view.borrow();
         let marks: HashSet<u32> =
             view.backends_of(hall).map(|one| one.incarnation_hash()).collect();
-        let own = self.path.loads.own().into_iter();
+        let own = self.path.loads.own_work().into_iter();
         own.filter(|(mark, _)| marks.contains(mark)).map(|(_, work)| work.requests).sum()
     }
 
--- a/crates/portrack/src/gateway/evacuation/copying.rs
+++ b/crates/portrack/src/gateway/evacuation/copying.rs
@@ -25,7 +25,7 @@
             for (service, key, pace) in self.held_only_in_closing_halls(now) {
                 // At least one, or it would come after what nobody uses.
                 let requests = (pace.round() as u16).max(1);
-                if self.path.wish_for(&service, &key, requests) {
+                if self.path.request_load(&service, &key, requests) {
                     self.metrics.evacuation_copies.inc();
                 }
             }
@@ -56,7 +56,7 @@
 
     /// True if a server that takes new work and can be reached holds an adapter.
     fn is_held_elsewhere(&self, now: Time, view: &FleetView, key: &AdapterKey) -> bool {
-        let holders = view.holdings.holders(now, key).into_iter();
+        let holders = view.adapter_locations.holders(now, key).into_iter();
         let mut holders = holders.filter_map(|(id, _)| view.backend(&id));
         let silent = |hall: &str| self.path.loads.is_hall_silent(hall);
         holders.any(|holder| view.is_open(holder) && !silent(&holder.hall))
--- a/crates/portrack/src/gateway/fleet/backend.rs
+++ b/crates/portrack/src/gateway/fleet/backend.rs
@@ -1,6 +1,6 @@
 //! A backend server as the platform lists it.
 
-use crate::gateway::choosing::load::server_mark;
+use crate::gateway::selection::load::server_hash;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
 /// The short name of one life of a server; of its only one where servers do not tell lives apart.
 pub fn incarnation_hash(id: &str, born: Option<u64>) -> u32 {
     match born {
-        None => server_mark(id),
+        None => server_hash(id),
         Some(born) => xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), born) as u32,
     }
 }
--- a/crates/portrack/src/gateway/fleet/gossip.rs
+++ b/crates/portrack/src/gateway/fleet/gossip.rs
@@ -5,13 +5,13 @@
     ServerLoad, decode,
 };
 use crate::gateway::admission::TOLD_EVERY;
-use crate::gateway::choosing::demand::Use;
-use crate::gateway::choosing::holdings::{NOTICE_HOLDS, Presence, REFUSAL_HOLDS};
-use crate::gateway::choosing::load::server_mark;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::AdapterKey;
 use crate::gateway::orders::order_executor::NoticeSink;
 use crate::gateway::orders::planner::LoadRequestAnswer;
+use crate::gateway::selection::adapter_locations::{NOTICE_TTL, Presence, REFUSAL_TTL};
+use crate::gateway::selection::demand::UsageReport;
+use crate::gateway::selection::load::server_hash;
 use crate::types::Time;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
         loop {
             actix_rt::time::sleep(SLOTS_LOOK).await;
             self.path.slots.pass_time();
-            self.path.grants.pass_time();
+            self.path.grants.tick();
             self.path.quarantine.tick();
             self.path.backpressure.tick();
             self.path.leaving.tick();
@@ -146,7 +146,7 @@
         let now = self.now();
         let claims = self.order_executor.claims.borrow();
         let marks: HashMap<u32, Rc<str>> =
-            claims.all().map(|(id, _)| (server_mark(id), id.clone())).collect();
+            claims.all().map(|(id, _)| (server_hash(id), id.clone())).collect();
         let mut planner = self.order_executor.planner.borrow_mut();
         for used in uses {
             let Some(server) = marks.get(&used.server) else { continue };
@@ -160,7 +160,7 @@
 
     /// Applies what servers report of their load, and passes it on to this daemon's followers.
     pub(in crate::gateway) fn on_loads(&self, loads: &[ServerLoad]) {
-        self.path.loads.report(self.now(), loads);
+        self.path.loads.record_reports(self.now(), loads);
         self.feed.push_loads(loads);
     }
 
@@ -182,11 +182,11 @@
                 NoticeState::Refused => Presence::Refused,
             };
             let holds = match presence {
-                Presence::Refused => REFUSAL_HOLDS,
-                _ => NOTICE_HOLDS,
+                Presence::Refused => REFUSAL_TTL,
+                _ => NOTICE_TTL,
             };
             let server: Rc<str> = notice.server.as_str().into();
-            view.holdings.notice(&key, &server, presence, now + holds);
+            view.adapter_locations.notice(&key, &server, presence, now + holds);
         }
         drop(view);
         self.path.changed.notify_waiters();
@@ -195,9 +195,9 @@
     /// Tells the daemons that order servers what is wished for, for ever.
     pub async fn run_load_request_reports(self: Rc<Self>) {
         loop {
-            self.path.demand.wished().await;
+            self.path.demand.load_requested().await;
             let now = self.now();
-            let wishes = self.path.demand.take_wishes().into_iter().map(|wish| {
+            let wishes = self.path.demand.take_load_requests().into_iter().map(|wish| {
                 let told = AdapterLoadRequest {
                     server: wish.server.to_string(),
                     model: wish.key.model.to_string(),
@@ -220,7 +220,7 @@
     pub async fn run_use_reports(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(USES_TOLD).await;
-            self.send_uses(self.path.demand.take_uses());
+            self.send_uses(self.path.demand.take_usage());
             self.path.demand.sweep(self.now());
         }
     }
@@ -228,16 +228,16 @@
     /// Tells them at once what begins and ceases to be used, for ever.
     pub async fn run_use_change_reports(self: Rc<Self>) {
         loop {
-            self.path.demand.use_turned().await;
-            self.send_uses(self.path.demand.take_turned());
+            self.path.demand.usage_changed().await;
+            self.send_uses(self.path.demand.take_changed());
         }
     }
 
-    fn send_uses(&self, uses: Vec<Use>) {
+    fn send_uses(&self, uses: Vec<UsageReport>) {
         let now = self.now();
         let uses = uses.into_iter().map(|used| {
             let told = AdapterUsage {
-                server: server_mark(&used.server),
+                server: server_hash(&used.server),
                 model: used.key.model.to_string(),
                 adapter: used.key.adapter.to_string(),
                 times: used.times,
--- a/crates/portrack/src/gateway/fleet/heartbeats.rs
+++ b/crates/portrack/src/gateway/fleet/heartbeats.rs
@@ -3,9 +3,9 @@
 use super::daemons::{DaemonInfo, Daemons};
 use super::message::{Capabilities, Heartbeat, PeerMessage};
 use super::peers::{BEAT, PeerChange};
-use crate::gateway::choosing::load::server_mark;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::regions::silence::log_silence_changes;
+use crate::gateway::selection::load::server_hash;
 use crate::types::Time;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -78,10 +78,10 @@
         far.into_iter().for_each(|to| self.send(&PeerMessage::Heartbeat(brief.clone()), to));
         let up = self.peers.borrow().up(now).count();
         self.path.daemons.set(up + 1);
-        let loads_lag = !self.peers.borrow().is_full_mesh();
-        self.path.loads_lag.set(loads_lag);
-        self.path.grants.loads_lag.set(loads_lag);
-        self.path.grants.know(self.peers.borrow().all());
+        let loads_are_delayed = !self.peers.borrow().is_full_mesh();
+        self.path.loads_are_delayed.set(loads_are_delayed);
+        self.path.grants.loads_are_delayed.set(loads_are_delayed);
+        self.path.grants.update_daemons(self.peers.borrow().all());
         self.look_at_halls(now);
         self.order_executor.planner.borrow_mut().set_daemon_count(up + 1);
         self.metrics.peers_up.set(up as i64);
@@ -120,7 +120,7 @@
     fn hears_servers_of(&self, now: Time, hall: &str) -> bool {
         let view = self.path.view.borrow();
         let mut servers = view.backends().filter(|backend| &*backend.hall == hall);
-        servers.any(|backend| self.path.loads.heard_within(now, &backend.id, HALL_ANSWERS))
+        servers.any(|backend| self.path.loads.has_answered_within(now, &backend.id, HALL_ANSWERS))
     }
 
     /// What this daemon tells of itself.
@@ -136,7 +136,7 @@
             sees_store: self.sees_store(),
             watches: self.watches.get(),
             orders: self.orderable_marks(now),
-            work: self.path.loads.own(),
+            work: self.path.loads.own_work(),
             known: self.peers.borrow().known(now),
             capacity: self.settings.limits.capacity(),
             heard: u16::try_from(self.peers.borrow().up(now).count()).unwrap_or(u16::MAX),
@@ -149,7 +149,7 @@
     fn orderable_marks(&self, now: Time) -> Vec<u32> {
         let orderable = self.order_executor.claims.borrow().orderable(now);
         self.metrics.servers_ordered.set(orderable.len() as i64);
-        orderable.iter().map(|id| server_mark(id)).collect()
+        orderable.iter().map(|id| server_hash(id)).collect()
     }
 
     /// Applies a heartbeat of another daemon.
@@ -159,7 +159,7 @@
         if heartbeat.address == self.settings.members {
             return;
         }
-        self.path.loads.peer(now, &node, heartbeat.work.clone());
+        self.path.loads.set_peer_work(now, &node, heartbeat.work.clone());
         self.look_for_reconnection(now);
         if let Some((own, of_others)) = heartbeat.news.split_first() {
             self.course.borrow_mut().heard(now, own, of_others);
--- a/crates/portrack/src/gateway/fleet/message.rs
+++ b/crates/portrack/src/gateway/fleet/message.rs
@@ -4,9 +4,9 @@
 use crate::gateway::admission::QuotaMessage;
 use crate::gateway::arrivals::GrantMessage;
 use crate::gateway::backpressure::message::LimitReport;
-use crate::gateway::choosing::load::Work;
 use crate::gateway::dispatch::SlotMessage;
 use crate::gateway::quarantine::message::QuarantineMessage;
+use crate::gateway::selection::load::OutstandingWork;
 use crate::gateway::store_sync::era::EraReport;
 use crate::gateway::store_sync::report::SyncReport;
 use serde::{Deserialize, Serialize};
@@ -91,7 +91,7 @@
     /// The servers that it may order now, by their marks.
     pub orders: Vec<u32>,
     /// Its requests at servers, by the marks of their lives.
-    pub work: Vec<(u32, Work)>,
+    pub work: Vec<(u32, OutstandingWork)>,
     /// Some daemons it knows.
     pub known: Vec<SocketAddr>,
     /// How many daemons it has heard.
--- a/crates/portrack/src/gateway/fleet/peers.rs
+++ b/crates/portrack/src/gateway/fleet/peers.rs
@@ -2,7 +2,7 @@
 
 use super::message::Heartbeat;
 use super::regions::Regions;
-use crate::gateway::choosing::load::server_mark;
+use crate::gateway::selection::load::server_hash;
 use crate::gateway::store_sync::era::EraTracker;
 use crate::membership::ranked;
 use crate::store::{StoreEra, StorePosition};
@@ -114,7 +114,7 @@
     pub fn new(me: SocketAddr, my_capacity: u32, seeds: Vec<SocketAddr>) -> Self {
         // Daemons that all began their rounds with the same one would reach it together, and leave it
         // without news for the rest of the round.
-        let turn = server_mark(&me.to_string()) as usize;
+        let turn = server_hash(&me.to_string()) as usize;
         Self {
             me,
             my_capacity,
--- a/crates/portrack/src/gateway/fleet/view.rs
+++ b/crates/portrack/src/gateway/fleet/view.rs
@@ -5,10 +5,10 @@
 use super::server_incarnations::{EntryStatus, ServerIncarnations};
 use super::versions::{AnnouncedVersions, UsableVersions};
 use crate::gateway::admission::RevokedKeys;
-use crate::gateway::choosing::holdings::Holdings;
 use crate::gateway::dialect::{AdapterKey, Dialect, DialectError, Item, ItemKey};
 use crate::gateway::evacuation::halls::{EvacuatedHalls, Evacuation};
 use crate::gateway::requests::routes::RouteTable;
+use crate::gateway::selection::adapter_locations::AdapterLocations;
 use crate::gateway::store_sync::mirror::MirrorChange;
 use crate::types::Time;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -68,7 +68,7 @@
     /// Keys that configurations have taken away.
     pub revoked: RevokedKeys,
     /// Which server holds which adapter.
-    pub holdings: Holdings,
+    pub adapter_locations: AdapterLocations,
     /// Data halls whose servers get nothing new.
     pub evacuated: EvacuatedHalls,
 }
@@ -151,7 +151,7 @@
 
     /// When an adapter is expected at a server that takes new work, if it is on its way to one.
     pub fn expected(&self, now: Time, key: &AdapterKey) -> Option<Time> {
-        let coming = self.holdings.coming_to(now, key);
+        let coming = self.adapter_locations.coming_to(now, key);
         let open = |id: &str| self.backends.get(id).is_none_or(|backend| self.is_open(backend));
         coming.filter(|(id, _)| open(id)).map(|(_, at)| at).min()
     }
@@ -256,7 +256,7 @@
         match entry_life {
             EntryStatus::Stale => return vec![ViewChange::BackendStale(id)],
             EntryStatus::Restarted { before } => {
-                self.holdings.born_again(&id);
+                self.adapter_locations.server_restarted(&id);
                 self.backends.remove(&id);
                 changes.push(ViewChange::Restarted { server: id.clone(), before });
             }
@@ -279,7 +279,7 @@
         }
         self.refused.remove(&id);
         let before = self.backends.insert(id.clone(), backend.clone());
-        self.holdings.list(before.as_deref(), Some(&backend));
+        self.adapter_locations.list(before.as_deref(), Some(&backend));
         let began_draining = backend.draining && before.is_none_or(|before| !before.draining);
         match began_draining {
             true => vec![ViewChange::Draining(id)],
@@ -297,7 +297,7 @@
 
     fn take_out(&mut self, id: &str) -> Option<ViewChange> {
         let removed = self.backends.remove(id)?;
-        self.holdings.list(Some(&removed), None);
+        self.adapter_locations.list(Some(&removed), None);
         Some(ViewChange::BackendGone(removed.id.clone()))
     }
 
--- a/crates/portrack/src/gateway/mod.rs
+++ b/crates/portrack/src/gateway/mod.rs
@@ -3,7 +3,6 @@
 mod admission;
 mod arrivals;
 mod backpressure;
-mod choosing;
 mod cold;
 mod connections;
 mod daemon;
@@ -19,6 +18,7 @@
 mod regions;
 mod requests;
 mod run;
+mod selection;
 mod settings;
 mod store_sync;
 
@@ -29,9 +29,9 @@
     organisation_of,
 };
 pub use arrivals::{
-    AskId, Asks, ColdBound, ColdRule, ColdWindow, GrantAnswer, GrantAsk, GrantEnd, GrantMessage,
-    GrantNote, GrantOrder, Granter, Grants, OwnShares, Promises, Quantile, ReadingLimit,
-    ReadingPace, ReadingWindow, ServerRule, makes_way,
+    CallId, ColdBound, ColdRule, ColdWindow, FallbackShares, GrantAnswer, GrantEnd, GrantMessage,
+    GrantReply, GrantRequest, GrantTimings, Granter, Grants, PendingCalls, PrefillLimit,
+    PrefillRate, PrefillWindow, Quantile, RetryScheduler, ServerRule, choose_evicted,
 };
 pub use backpressure::announcements::AnnouncementQueue;
 pub use backpressure::backoff_hint::BackoffHint;
@@ -43,13 +43,6 @@
 pub use backpressure::limit_table::{LimitChange, LimitTable};
 pub use backpressure::message::LimitReport;
 pub use backpressure::tracker::{Backpressure, BackpressureDeps, BackpressureMetrics};
-pub use choosing::choose::{Offer, better_of_two, cheaper_of_two, cheapest, two_of};
-pub use choosing::crowding::copy_pays;
-pub use choosing::demand::{DemandLog, Use, Wish};
-pub use choosing::holdings::{Holdings, Presence};
-pub use choosing::homes::{Home, home};
-pub use choosing::load::{LoadTable, Work, WorkGuard, server_mark};
-pub use choosing::replicas::{ReplicaDemand, run_time};
 pub use cold::server::ColdServer;
 pub use connections::answer::{AnswerError, AnswerHead, Framing, take_head};
 pub use connections::body::{BodyDecoder, Step};
@@ -119,6 +112,15 @@
 pub use requests::routes::{RouteTable, pick_target};
 pub use requests::timings::Timings;
 pub use run::{GatewayError, RunningGateway, start_gateway};
+pub use selection::adapter_locations::{AdapterLocations, Presence};
+pub use selection::choose::{
+    ScoredServer, better_of_two, cheaper_of_two, cheapest, two_random_choices,
+};
+pub use selection::crowding::is_copy_worthwhile;
+pub use selection::demand::{AdapterDemandTracker, LoadRequest, UsageReport};
+pub use selection::load::{LoadTable, OutstandingGuard, OutstandingWork, server_hash};
+pub use selection::load_target::{LoadTarget, choose_load_target};
+pub use selection::replicas::{ReplicaDemand, mean_run_time};
 pub use settings::{Bounds, GatewaySettings, NodeLimits};
 pub use store_sync::era::{EraChange, EraReport, EraTracker};
 pub use store_sync::era_delta::EraDelta;
--- a/crates/portrack/src/gateway/orders/adapter_demand.rs
+++ b/crates/portrack/src/gateway/orders/adapter_demand.rs
@@ -1,6 +1,6 @@
 //! How much an adapter is used at a server.
 
-use crate::gateway::choosing::decay::Decayed;
+use crate::gateway::selection::decay::DecayingSum;
 use crate::types::Time;
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 /// Demand for one adapter.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AdapterDemand {
-    rate: Decayed,
-    pace: Decayed,
+    rate: DecayingSum,
+    pace: DecayingSum,
 }
 
 impl AdapterDemand {
--- a/crates/portrack/src/gateway/orders/claim_holders.rs
+++ b/crates/portrack/src/gateway/orders/claim_holders.rs
@@ -1,8 +1,8 @@
 //! Which other daemon orders a server.
 
 use super::claim_records::ClaimRecords;
-use crate::gateway::choosing::load::server_mark;
 use crate::gateway::fleet::peers::Peers;
+use crate::gateway::selection::load::server_hash;
 use crate::types::Time;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub fn address(&self, now: Time, server: &str) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         if peers.is_full_mesh() {
-            let (_, peer) = peers.orderer(now, server_mark(server))?;
+            let (_, peer) = peers.orderer(now, server_hash(server))?;
             return Some(peer.heartbeat.address);
         }
         let records = self.records.borrow();
--- a/crates/portrack/src/gateway/orders/claiming.rs
+++ b/crates/portrack/src/gateway/orders/claiming.rs
@@ -4,11 +4,11 @@
 use super::claim_records::SeenRecord;
 use super::claims::{Claim, Predecessor};
 use super::unclaimed_servers::{Candidates, ClaimAttempt, Claimant};
-use crate::gateway::choosing::load::server_mark;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::peers::Peers;
 use crate::gateway::fleet::view::FleetView;
+use crate::gateway::selection::load::server_hash;
 use crate::gateway::store_sync::mirror::MirrorChange;
 use crate::store::{KvEntry, KvError, KvOutcome, KvPut, KvTransaction};
 use crate::types::Time;
@@ -226,7 +226,7 @@
         if peers.is_full_mesh() {
             return self.started_at + KNOWS_FLEET_AFTER;
         }
-        let share = f64::from(server_mark(&self.settings.node)) / f64::from(u32::MAX);
+        let share = f64::from(server_hash(&self.settings.node)) / f64::from(u32::MAX);
         self.started_at + KNOWS_LARGE_FLEET_AFTER + FIRST_CLAIMS_SPREAD.mul_f64(share)
     }
 
--- a/crates/portrack/src/gateway/requests/job.rs
+++ b/crates/portrack/src/gateway/requests/job.rs
@@ -3,7 +3,7 @@
 use super::caller::{CallerRequest, RefusalReason, Refused};
 use super::timings::Timings;
 use crate::gateway::admission::{Admitted, Charge};
-use crate::gateway::arrivals::{GrantEnd, GrantGuard, GrantNote};
+use crate::gateway::arrivals::{GrantEnd, GrantGuard, GrantTimings};
 use crate::gateway::dialect::{AdapterKey, ModelRequest};
 use crate::gateway::dispatch::{SlotEnd, SlotGuard};
 use crate::gateway::fleet::backend::Backend;
@@ -37,7 +37,7 @@
     /// When it was sent and answered.
     pub timings: Timings,
     /// What it waited for at granters.
-    pub grant: GrantNote,
+    pub grant: GrantTimings,
     /// What its tries have in common, once a server has broken off or it is held back.
     pub mark: Cell<Option<RequestFingerprint>>,
 }
--- a/crates/portrack/src/gateway/requests/path.rs
+++ b/crates/portrack/src/gateway/requests/path.rs
@@ -10,8 +10,6 @@
 use crate::gateway::arrivals::{GrantEnd, GrantGuard, Grants};
 use crate::gateway::backpressure::leaving::LeavingServers;
 use crate::gateway::backpressure::tracker::Backpressure;
-use crate::gateway::choosing::demand::DemandLog;
-use crate::gateway::choosing::load::LoadTable;
 use crate::gateway::connections::answer::AnswerHead;
 use crate::gateway::connections::pool::Pool;
 use crate::gateway::dialect::{Dialect, ForwardMeta};
@@ -24,6 +22,8 @@
 use crate::gateway::quarantine::coordinator::Quarantine;
 use crate::gateway::regions::locality::Locality;
 use crate::gateway::regions::traffic::RegionTraffic;
+use crate::gateway::selection::demand::AdapterDemandTracker;
+use crate::gateway::selection::load::LoadTable;
 use crate::types::{Clock, Time};
 use prometheus::IntCounter;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -75,7 +75,7 @@
     /// What may be repeated.
     pub retries: RefCell<ServiceRetries>,
     /// What is asked for.
-    pub demand: Rc<DemandLog>,
+    pub demand: Rc<AdapterDemandTracker>,
     /// True if some daemon, as far as known, may order this server.
     pub is_ordered: Box<dyn Fn(&str) -> bool>,
     /// Where this daemon is.
@@ -86,7 +86,7 @@
     pub daemons: Cell<usize>,
     /// The loads of servers are known some hundred milliseconds late, as in fleets where not every
     /// heartbeat reaches all.
-    pub loads_lag: Cell<bool>,
+    pub loads_are_delayed: Cell<bool>,
     /// Counts requests held back right before they were sent, their servers having closed.
     pub held_back: IntCounter,
 }
@@ -288,7 +288,7 @@
                 choice.ended(SlotEnd::Failed);
                 choice.grant_ended(GrantEnd::Lost);
                 self.coldness.borrow_mut().assume_cold(self.clock.now(), &backend.id);
-                self.loads.outcome_of(self.clock.now(), backend, true);
+                self.loads.record_outcome_of(self.clock.now(), backend, true);
                 job.last_failure = error.to_string();
                 self.note_broken(job, &error, backend);
                 self.after_loss(job, relay)
@@ -297,18 +297,18 @@
                 job.runs += 1;
                 guard.begun();
                 job.progress.begun.set(true);
-                guard.heard(self.clock.now());
+                guard.record_activity(self.clock.now());
                 let timings = &job.progress.timings;
                 let heard = || {
                     let now = self.clock.now();
-                    guard.heard(now);
+                    guard.record_activity(now);
                     timings.part(now);
                     choice.begun(now);
                 };
                 let end = relay.answer(job, *answer, sink, heard).await;
                 choice.begun(self.clock.now());
                 if let Some(apart) = timings.event_apart() {
-                    self.grants.note_event(&job.service.name, apart);
+                    self.grants.record_event_gap(&job.service.name, apart);
                 }
                 self.traffic.count_server_bytes("answers", &backend.hall, relay.take_received());
                 drop(guard);
@@ -424,7 +424,7 @@
                 choice.ended(SlotEnd::Unreachable);
                 choice.grant_ended(GrantEnd::Unreachable);
                 self.coldness.borrow_mut().assume_cold(now, id);
-                if self.loads.is_present(&choice.backend) {
+                if self.loads.is_current_incarnation(&choice.backend) {
                     self.loads.unreachable(now, id);
                 }
             }
@@ -433,7 +433,7 @@
                 if *status == 421 {
                     choice.grant_ended(GrantEnd::TurnedAway);
                 }
-                self.note_turned_away(job, choice, *status);
+                self.record_misdirected(job, choice, *status);
             }
         }
         let others = self.has_untried(job);
@@ -472,7 +472,7 @@
         let now = self.clock.now();
         match end {
             RelayEnd::Whole(status) => {
-                self.loads.outcome_of(now, server, status >= 500);
+                self.loads.record_outcome_of(now, server, status >= 500);
                 if status < 500 {
                     self.note_served(job);
                 }
@@ -480,16 +480,16 @@
             }
             RelayEnd::CallerGone => Next::End(RequestEnd::CallerGone),
             RelayEnd::Failed(status) => {
-                self.loads.outcome_of(now, server, true);
+                self.loads.record_outcome_of(now, server, true);
                 job.last_failure = format!("status {status}");
                 Next::Again
             }
             RelayEnd::Unusable(why) => {
-                self.loads.outcome_of(now, server, true);
+                self.loads.record_outcome_of(now, server, true);
                 self.resume_elsewhere(job, why, relay)
             }
             RelayEnd::BrokenOff(error) => {
-                self.loads.outcome_of(now, server, true);
+                self.loads.record_outcome_of(now, server, true);
                 self.note_broken(job, &error, server);
                 self.resume_elsewhere(job, error.to_string(), relay)
             }
--- a/crates/portrack/src/gateway/run.rs
+++ b/crates/portrack/src/gateway/run.rs
@@ -161,7 +161,7 @@
             self.path.pool.sweep();
             self.order_executor.sweep();
             self.order_executor.planner.borrow_mut().sweep(now);
-            self.path.view.borrow_mut().holdings.forget_old(now);
+            self.path.view.borrow_mut().adapter_locations.expire_notices(now);
             self.forget_limits();
             self.metrics.in_flight.set(self.in_flight.get() as i64);
             self.check_proof();
--- a/crates/portrack/src/gateway/choosing/holdings.rs
+++ b/crates/portrack/src/gateway/selection/adapter_locations.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// A notice of the planner outweighs the store's list for this long; by then the list has caught up.
-pub const NOTICE_HOLDS: Duration = Duration::from_millis(4_000);
+pub const NOTICE_TTL: Duration = Duration::from_millis(4_000);
 /// That an adapter could not be loaded at a server counts for this long.
-pub const REFUSAL_HOLDS: Duration = Duration::from_millis(900);
+pub const REFUSAL_TTL: Duration = Duration::from_millis(900);
 
 /// Servers remembered for each adapter: a copy is made for what is asked for often, so a few.
 const REMEMBERED: usize = 4;
@@ -42,13 +42,13 @@
 
 /// An index from adapters to the servers that hold them.
 #[derive(Debug, Clone, Default)]
-pub struct Holdings {
+pub struct AdapterLocations {
     adapters: HashMap<AdapterKey, Holders>,
     /// Where each adapter was held last, the latest first, with its version there.
     held_once: HashMap<AdapterKey, Vec<(Rc<str>, u64)>>,
 }
 
-impl Holdings {
+impl AdapterLocations {
     /// Takes a server's entry in, in place of its last one.
     pub fn list(&mut self, before: Option<&Backend>, now: Option<&Backend>) {
         if let Some(before) = before {
@@ -92,7 +92,7 @@
     }
 
     /// A server has started again: it holds nothing of before, and notices of that say nothing any more.
-    pub fn born_again(&mut self, id: &str) {
+    pub fn server_restarted(&mut self, id: &str) {
         self.forget_server(id);
         self.adapters.retain(|_, holders| {
             holders.listed.remove(id);
@@ -102,7 +102,7 @@
     }
 
     /// True if a server held this version of an adapter and probably has a copy of it at hand.
-    pub fn is_at_hand(&self, key: &AdapterKey, id: &str, version: u64) -> bool {
+    pub fn is_cached(&self, key: &AdapterKey, id: &str, version: u64) -> bool {
         let servers = self.held_once.get(key).into_iter().flatten();
         servers.into_iter().any(|(server, held)| &**server == id && *held == version)
     }
@@ -118,7 +118,7 @@
 
     /// A server turned a request for a version away, or for any version: it does not hold it, until a
     /// time. A fresh notice that it holds a newer version stands: that took the other one's place.
-    pub fn turned_away(
+    pub fn record_rejection(
         &mut self,
         now: Time,
         key: &AdapterKey,
@@ -135,7 +135,7 @@
     }
 
     /// Forgets notices that the list has caught up with.
-    pub fn forget_old(&mut self, now: Time) {
+    pub fn expire_notices(&mut self, now: Time) {
         self.adapters.retain(|_, holders| {
             holders.noticed.retain(|_, notice| notice.fresh(now));
             !(holders.listed.is_empty() && holders.noticed.is_empty())
--- a/crates/portrack/src/gateway/choosing/choose.rs
+++ b/crates/portrack/src/gateway/selection/choose.rs
@@ -40,7 +40,7 @@
 ///
 /// With loads known some hundred milliseconds late, requests that all went to the idlest server
 /// would go there together; the better of two random ones spreads them.
-pub fn two_of(id: &str, count: usize) -> Option<[usize; 2]> {
+pub fn two_random_choices(id: &str, count: usize) -> Option<[usize; 2]> {
     let count = u64::try_from(count).ok().filter(|count| *count > 0)?;
     let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
     let first = hash % count;
@@ -53,7 +53,7 @@
 
 /// What is weighed of one candidate.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Offer {
+pub struct ScoredServer {
     /// What the request would cost there.
     pub cost: f64,
     /// It is of this daemon's region.
@@ -62,7 +62,7 @@
     pub is_crowded: bool,
 }
 
-impl Offer {
+impl ScoredServer {
     /// A server at this cost.
     pub fn new(cost: f64, locality: &Locality, backend: &Backend) -> Self {
         Self {
@@ -80,18 +80,18 @@
 /// The place to take among candidates that come with the cheapest first: the better of two that a
 /// request's id chooses among those that are not in trouble, or the first if all are. Where some are of
 /// other regions, those of this one are taken while any of them is not crowded.
-pub fn better_of_two(id: &str, offers: &[Offer]) -> usize {
-    let places = |fits: &dyn Fn(&Offer) -> bool| -> Vec<usize> {
+pub fn better_of_two(id: &str, offers: &[ScoredServer]) -> usize {
+    let places = |fits: &dyn Fn(&ScoredServer) -> bool| -> Vec<usize> {
         let fitting = offers.iter().enumerate().filter(|(_, offer)| fits(offer));
         fitting.map(|(place, _)| place).collect()
     };
-    let sound = places(&Offer::is_sound);
+    let sound = places(&ScoredServer::is_sound);
     let near = match sound.iter().all(|place| offers[*place].is_near) {
         true => Vec::new(),
         false => places(&|offer| offer.is_sound() && offer.is_near && !offer.is_crowded),
     };
     let among = if near.is_empty() { sound } else { near };
-    two_of(id, among.len()).map_or(0, |[first, second]| among[first.min(second)])
+    two_random_choices(id, among.len()).map_or(0, |[first, second]| among[first.min(second)])
 }
 
 /// The cheapest server of those not tried yet.
@@ -124,7 +124,7 @@
     let mut costed: Vec<_> =
         untried.map(|backend| (cost(now, loads, locality, backend), backend)).collect();
     costed.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-    let offers: Vec<Offer> =
-        costed.iter().map(|(cost, backend)| Offer::new(*cost, locality, backend)).collect();
+    let offers: Vec<ScoredServer> =
+        costed.iter().map(|(cost, backend)| ScoredServer::new(*cost, locality, backend)).collect();
     costed.get(better_of_two(id, &offers)).map(|(_, backend)| (*backend).clone())
 }
--- a/crates/portrack/src/gateway/choosing/crowding.rs
+++ b/crates/portrack/src/gateway/selection/crowding.rs
@@ -23,7 +23,7 @@
 
 /// True if an adapter that was asked for `asks` times lately is worth a copy in this region beside the
 /// one in another.
-pub fn near_copy_pays(asks: f64) -> bool {
+pub fn is_local_copy_worthwhile(asks: f64) -> bool {
     asks >= LEAST_ASKS_FROM_AFAR
 }
 
@@ -44,7 +44,7 @@
 
 /// True if a crowded server, where a request costs `cost`, should get help from the `idlest` one
 /// for an adapter that was asked for `asks` times lately.
-pub fn copy_pays(slots: usize, cost: f64, idlest: f64, asks: f64) -> bool {
+pub fn is_copy_worthwhile(slots: usize, cost: f64, idlest: f64, asks: f64) -> bool {
     let idler = cost > idlest + slots as f64 * IDLER_SHARE;
     is_crowded(slots, cost) && idler && asks >= LEAST_ASKS
 }
--- a/crates/portrack/src/gateway/choosing/decay.rs
+++ b/crates/portrack/src/gateway/selection/decay.rs
@@ -5,12 +5,12 @@
 
 /// Loses half of its value in each half-life.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Decayed {
+pub struct DecayingSum {
     value: f64,
     at: Time,
 }
 
-impl Decayed {
+impl DecayingSum {
     /// Adds to the sum.
     pub fn add(&mut self, now: Time, half_life: Duration, amount: f64) {
         self.set(now, self.get(now, half_life) + amount);
--- a/crates/portrack/src/gateway/choosing/demand.rs
+++ b/crates/portrack/src/gateway/selection/demand.rs
@@ -17,7 +17,7 @@
 
 /// An adapter wished for at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wish {
+pub struct LoadRequest {
     /// The server.
     pub server: Rc<str>,
     /// The adapter.
@@ -30,7 +30,7 @@
 
 /// What this daemon's requests do with an adapter at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Use {
+pub struct UsageReport {
     /// The server.
     pub server: Rc<str>,
     /// The adapter.
@@ -43,19 +43,19 @@
 
 /// Uses and wishes that were not told yet.
 #[derive(Debug, Default)]
-pub struct DemandLog {
+pub struct AdapterDemandTracker {
     uses: RefCell<HashMap<(Rc<str>, AdapterKey), u16>>,
     running: RefCell<HashMap<(Rc<str>, AdapterKey), u16>>,
-    wishes: RefCell<Vec<Wish>>,
+    wishes: RefCell<Vec<LoadRequest>>,
     wished_at: RefCell<HashMap<(AdapterKey, Rc<str>), Time>>,
     missed: RefCell<HashMap<AdapterKey, u16>>,
     asked: RefCell<HashMap<AdapterKey, AdapterDemand>>,
     wished: Notify,
     turned: RefCell<HashSet<(Rc<str>, AdapterKey)>>,
-    use_turned: Notify,
+    usage_changed: Notify,
 }
 
-impl DemandLog {
+impl AdapterDemandTracker {
     /// Counts a request that uses an adapter at a server, and runs there until the guard is
     /// dropped.
     pub fn begin(self: &Rc<Self>, server: &Rc<str>, key: &AdapterKey) -> UseGuard {
@@ -67,7 +67,7 @@
         let count = running.entry(place.clone()).or_default();
         if *count == 0 {
             self.turned.borrow_mut().insert(place.clone());
-            self.use_turned.notify_one();
+            self.usage_changed.notify_one();
         }
         *count = count.saturating_add(1);
         UseGuard { log: self.clone(), place }
@@ -91,7 +91,7 @@
     }
 
     /// Wishes for an adapter at a server, unless that was just done; true if it is wished for now.
-    pub fn wish(&self, now: Time, mut wish: Wish) -> bool {
+    pub fn wish(&self, now: Time, mut wish: LoadRequest) -> bool {
         let mut wished_at = self.wished_at.borrow_mut();
         let place = (wish.key.clone(), wish.server.clone());
         let last = wished_at.insert(place.clone(), now);
@@ -107,36 +107,36 @@
     }
 
     /// Waits for a wish.
-    pub async fn wished(&self) {
+    pub async fn load_requested(&self) {
         self.wished.notified().await;
     }
 
     /// Takes the wishes not told yet.
-    pub fn take_wishes(&self) -> Vec<Wish> {
+    pub fn take_load_requests(&self) -> Vec<LoadRequest> {
         self.wishes.take()
     }
 
     /// Waits until an adapter begins to be used at a server, or is no longer.
-    pub async fn use_turned(&self) {
-        self.use_turned.notified().await;
+    pub async fn usage_changed(&self) {
+        self.usage_changed.notified().await;
     }
 
     /// Takes the adapters that began or ceased to be used since the last look. Both are told at
     /// once: what is idle may be dropped, an unload of what is in use holds up its server, and a
     /// place that is thought to be in use is wasted.
-    pub fn take_turned(&self) -> Vec<Use> {
+    pub fn take_changed(&self) -> Vec<UsageReport> {
         let turned = self.turned.take().into_iter();
         turned.map(|place| self.use_of(place)).collect()
     }
 
-    fn use_of(&self, place: (Rc<str>, AdapterKey)) -> Use {
+    fn use_of(&self, place: (Rc<str>, AdapterKey)) -> UsageReport {
         let times = self.uses.borrow_mut().remove(&place).unwrap_or_default();
         let running = self.running.borrow().contains_key(&place);
-        Use { server: place.0, key: place.1, times, running }
+        UsageReport { server: place.0, key: place.1, times, running }
     }
 
     /// Takes the uses not told yet; what still runs is told each time, with 0 further uses.
-    pub fn take_uses(&self) -> Vec<Use> {
+    pub fn take_usage(&self) -> Vec<UsageReport> {
         let places: HashSet<_> =
             self.running.borrow().keys().chain(self.uses.borrow().keys()).cloned().collect();
         places.into_iter().map(|place| self.use_of(place)).collect()
@@ -152,7 +152,7 @@
 /// A request that runs at a server with an adapter.
 #[derive(Debug)]
 pub struct UseGuard {
-    log: Rc<DemandLog>,
+    log: Rc<AdapterDemandTracker>,
     place: (Rc<str>, AdapterKey),
 }
 
@@ -164,7 +164,7 @@
         if *count == 0 {
             running.remove(&self.place);
             self.log.turned.borrow_mut().insert(self.place.clone());
-            self.log.use_turned.notify_one();
+            self.log.usage_changed.notify_one();
         }
     }
 }
--- a/crates/portrack/src/gateway/choosing/granted.rs
+++ b/crates/portrack/src/gateway/selection/granted.rs
@@ -209,7 +209,10 @@
             priority: job.priority(),
             left: job.route.objective.saturating_sub(passed + first_event).min(most),
             most,
-            gap: job.route.gap_objective.filter(|_| model.is_some() && self.loads_lag.get()),
+            gap: job
+                .route
+                .gap_objective
+                .filter(|_| model.is_some() && self.loads_are_delayed.get()),
         }
     }
 }
--- a/crates/portrack/src/gateway/choosing/load.rs
+++ b/crates/portrack/src/gateway/selection/load.rs
@@ -1,6 +1,6 @@
 //! How busy and how reliable each backend server is, as this daemon knows it.
 
-use super::decay::Decayed;
+use super::decay::DecayingSum;
 use crate::gateway::cold::server::ColdServer;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::message::ServerLoad;
@@ -27,7 +27,7 @@
 
 /// Requests at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct OutstandingWork {
     /// Requests sent and not finished.
     pub requests: u32,
     /// Prompt tokens of those that have not begun to answer.
@@ -38,12 +38,12 @@
 struct Server {
     /// The mark of the life that all this is of.
     life: u32,
-    own: Work,
+    own: OutstandingWork,
     /// Since when nothing was heard of it although it was asked.
     silent_since: Option<Time>,
     /// When it said something last.
     heard_at: Option<Time>,
-    failure_rate: Decayed,
+    failure_rate: DecayingSum,
     unreachable_until: Time,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 struct PeerWork {
     told_at: Time,
-    servers: HashMap<u32, Work>,
+    servers: HashMap<u32, OutstandingWork>,
 }
 
 /// What a server reported of its load.
@@ -78,13 +78,13 @@
 }
 
 /// The short name of a server in messages between daemons.
-pub fn server_mark(id: &str) -> u32 {
+pub fn server_hash(id: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32
 }
 
 impl LoadTable {
     /// Takes in which life of a server is the present one; what is known of a former one is forgotten.
-    pub fn lives(&self, server: &Rc<str>, mark: u32) {
+    pub fn set_incarnation(&self, server: &Rc<str>, mark: u32) {
         let before = self.mark(server);
         if before == mark {
             return;
@@ -97,7 +97,7 @@
 
     /// The mark of a server's present life.
     pub fn mark(&self, server: &str) -> u32 {
-        self.lives.borrow().get(server).copied().unwrap_or_else(|| server_mark(server))
+        self.lives.borrow().get(server).copied().unwrap_or_else(|| server_hash(server))
     }
 
     /// What is known of a server's present life, for changes.
@@ -109,7 +109,7 @@
     }
 
     /// Counts a request at a server until the guard is dropped.
-    pub fn begin(self: &Rc<Self>, now: Time, server: &Rc<str>, tokens: u32) -> WorkGuard {
+    pub fn begin(self: &Rc<Self>, now: Time, server: &Rc<str>, tokens: u32) -> OutstandingGuard {
         let life = self.entry(server, |entry| {
             entry.silent_since.get_or_insert(now);
             entry.own.requests += 1;
@@ -119,11 +119,11 @@
         if let Some(reported) = self.reported.borrow_mut().get_mut(&life) {
             reported.own_since += 1;
         }
-        WorkGuard { table: self.clone(), server: server.clone(), life, tokens }
+        OutstandingGuard { table: self.clone(), server: server.clone(), life, tokens }
     }
 
     /// Notes an outcome of a server.
-    pub fn outcome(&self, now: Time, server: &Rc<str>, failed: bool) {
+    pub fn record_outcome(&self, now: Time, server: &Rc<str>, failed: bool) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.entry(server, |entry| {
             let rate = entry.rate(now);
@@ -132,20 +132,20 @@
     }
 
     /// Notes an outcome of one life of a server; that of a former one says nothing of the present one.
-    pub fn outcome_of(&self, now: Time, backend: &Backend, failed: bool) {
-        if self.is_present(backend) {
-            self.outcome(now, &backend.id, failed);
+    pub fn record_outcome_of(&self, now: Time, backend: &Backend, failed: bool) {
+        if self.is_current_incarnation(backend) {
+            self.record_outcome(now, &backend.id, failed);
         }
     }
 
     /// True unless the server has started again since.
-    pub fn is_present(&self, backend: &Backend) -> bool {
+    pub fn is_current_incarnation(&self, backend: &Backend) -> bool {
         self.mark(&backend.id) == backend.incarnation_hash()
     }
 
     /// Notes that a server could not be reached.
     pub fn unreachable(&self, now: Time, server: &Rc<str>) {
-        self.outcome(now, server, true);
+        self.record_outcome(now, server, true);
         self.entry(server, |entry| entry.unreachable_until = now + UNREACHABLE_FOR);
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// True if a server said something within a span.
-    pub fn heard_within(&self, now: Time, server: &str, span: Duration) -> bool {
+    pub fn has_answered_within(&self, now: Time, server: &str, span: Duration) -> bool {
         let heard_at = self.servers.borrow().get(server).and_then(|entry| entry.heard_at);
         heard_at.is_some_and(|at| now.since(at) < span)
     }
@@ -173,16 +173,16 @@
     }
 
     /// What all daemons have at a server, as far as known.
-    pub fn work(&self, now: Time, server: &str) -> Work {
+    pub fn work(&self, now: Time, server: &str) -> OutstandingWork {
         let own = self.servers.borrow().get(server).map(|entry| entry.own).unwrap_or_default();
         let mark = self.mark(server);
         if let Some(reported) = self.reported(now, mark) {
             let requests = (reported.requests + reported.own_since).max(own.requests);
-            return Work { requests, ..own };
+            return OutstandingWork { requests, ..own };
         }
         let peers = self.peers.borrow();
         let fresh = peers.values().filter(|peer| now.since(peer.told_at) < PEER_FRESH);
-        fresh.filter_map(|peer| peer.servers.get(&mark)).fold(own, |sum, work| Work {
+        fresh.filter_map(|peer| peer.servers.get(&mark)).fold(own, |sum, work| OutstandingWork {
             requests: sum.requests + work.requests,
             waiting_tokens: sum.waiting_tokens + work.waiting_tokens,
         })
@@ -194,7 +194,7 @@
     }
 
     /// Updates what servers reported of their load, which outweighs what peers tell of their own.
-    pub fn report(&self, now: Time, loads: &[ServerLoad]) {
+    pub fn record_reports(&self, now: Time, loads: &[ServerLoad]) {
         let mut reported = self.reported.borrow_mut();
         for load in loads {
             let requests = load.requests.into();
@@ -213,14 +213,14 @@
     }
 
     /// This daemon's own work, for its peers.
-    pub fn own(&self) -> Vec<(u32, Work)> {
+    pub fn own_work(&self) -> Vec<(u32, OutstandingWork)> {
         let servers = self.servers.borrow();
         let busy = servers.values().filter(|entry| entry.own.requests > 0);
         busy.map(|entry| (entry.life, entry.own)).collect()
     }
 
     /// Takes a peer's work in.
-    pub fn peer(&self, now: Time, peer: &Rc<str>, works: Vec<(u32, Work)>) {
+    pub fn set_peer_work(&self, now: Time, peer: &Rc<str>, works: Vec<(u32, OutstandingWork)>) {
         let work = PeerWork { told_at: now, servers: works.into_iter().collect() };
         self.peers.borrow_mut().insert(peer.clone(), work);
     }
@@ -285,14 +285,14 @@
 
 /// Counts one request at a server for as long as it lives.
 #[derive(Debug)]
-pub struct WorkGuard {
+pub struct OutstandingGuard {
     table: Rc<LoadTable>,
     server: Rc<str>,
     life: u32,
     tokens: u32,
 }
 
-impl WorkGuard {
+impl OutstandingGuard {
     /// Changes what is known of the server, unless it has started again.
     fn change(&self, change: impl FnOnce(&mut Server)) {
         let mut servers = self.table.servers.borrow_mut();
@@ -302,7 +302,7 @@
     }
 
     /// The server said something.
-    pub fn heard(&self, now: Time) {
+    pub fn record_activity(&self, now: Time) {
         self.change(|entry| {
             entry.silent_since = Some(now);
             entry.heard_at = Some(now);
@@ -318,7 +318,7 @@
     }
 }
 
-impl Drop for WorkGuard {
+impl Drop for OutstandingGuard {
     fn drop(&mut self) {
         self.begun();
         self.change(|entry| {
--- a/crates/portrack/src/gateway/choosing/load_reports.rs
+++ b/crates/portrack/src/gateway/selection/load_reports.rs
@@ -2,8 +2,8 @@
 //! adapters with much demand loaded elsewhere as well.
 
 use super::crowding::{is_idle, is_overloaded};
-use super::demand::Wish;
-use super::replicas::{ReplicaDemand, run_time};
+use super::demand::LoadRequest;
+use super::replicas::{ReplicaDemand, mean_run_time};
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::{AdapterKey, ServerReport};
 use crate::gateway::fleet::message::{PeerMessage, ServerLoad};
@@ -25,7 +25,7 @@
     pub(in crate::gateway) async fn report_loads(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(REPORT_EVERY).await;
-            if !self.path.loads_lag.get() {
+            if !self.path.loads_are_delayed.get() {
                 continue;
             }
             let loads = self.clone().read_loads().await;
@@ -77,7 +77,7 @@
         };
         let per_second = paces.values().flatten().map(|(_, pace)| pace).sum();
         let running = loads.iter().map(|load| f64::from(load.requests)).sum();
-        let runs = run_time(running, per_second);
+        let runs = mean_run_time(running, per_second);
         for (server, adapters) in paces {
             for (key, pace) in adapters.into_iter().filter(|(_, pace)| *pace >= LEAST_PACE) {
                 self.replicate(now, &server, &key, pace, runs);
@@ -108,7 +108,7 @@
             let requests = demand.per_second.round() as u16;
             self.path
                 .demand
-                .wish(now, Wish { server: target, key: key.clone(), version, requests });
+                .wish(now, LoadRequest { server: target, key: key.clone(), version, requests });
         }
     }
 
@@ -124,7 +124,7 @@
     ) -> Option<(ReplicaDemand, u64)> {
         let view = self.path.view.borrow();
         let newest = view.newest_version(key);
-        let mut all = view.holdings.holders(now, key);
+        let mut all = view.adapter_locations.holders(now, key);
         all.retain(|(id, _)| view.backend(id).is_some_and(|holder| view.is_open(holder)));
         // Daemons of other regions use holders of their own, if they have any.
         all.retain(|(id, _)| self.share_region(&view, id, server));
@@ -140,7 +140,7 @@
             slots: view.backend(server)?.slots,
             holders: sharers.len(),
             current: all.iter().filter(|(_, version)| is_current(version)).count(),
-            coming: view.holdings.coming(now, key, newest),
+            coming: view.adapter_locations.coming(now, key, newest),
             place: sharers.iter().position(|(id, _)| id == server)?,
         };
         Some((demand, newest))
@@ -158,12 +158,12 @@
     fn idle_servers(&self, now: Time, server: &Rc<str>, key: &AdapterKey) -> Vec<Rc<str>> {
         let view = self.path.view.borrow();
         let Some(backend) = view.backend(server) else { return Vec::new() };
-        let holders = view.holdings.holders(now, key);
+        let holders = view.adapter_locations.holders(now, key);
         let mut idle: Vec<(bool, bool, u32, Rc<str>)> = view
             .open_backends(&backend.service)
             .filter(|other| other.model(&key.model).is_some())
             .filter(|other| !holders.iter().any(|(id, _)| *id == other.id))
-            .filter(|other| !view.holdings.is_refused(now, key, &other.id))
+            .filter(|other| !view.adapter_locations.is_refused(now, key, &other.id))
             .filter(|other| !self.path.loads.is_hall_silent(&other.hall))
             .map(|other| (self.path.loads.work(now, &other.id).requests, other))
             .filter(|(load, other)| is_idle(other.slots, *load))
--- a/crates/portrack/src/gateway/choosing/homes.rs
+++ b/crates/portrack/src/gateway/selection/load_target.rs
@@ -14,7 +14,7 @@
 
 /// A server that takes orders.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Home {
+pub struct LoadTarget {
     /// Its id.
     pub server: Rc<str>,
     /// Requests at once there.
@@ -22,16 +22,16 @@
     /// What a request would cost there.
     pub cost: f64,
     /// It held the adapter before and has it at hand: no fetch is needed.
-    pub at_hand: bool,
+    pub is_cached: bool,
     /// It is of the region that asks.
     pub is_near: bool,
 }
 
-impl Home {
+impl LoadTarget {
     /// What loading an adapter here costs if this is the server of a rank in its rendezvous order, or of
     /// none; `None` if it is not to be loaded here.
     fn load_cost(&self, rank: Option<usize>) -> Option<f64> {
-        if self.at_hand {
+        if self.is_cached {
             return Some(self.cost - FETCH_COST);
         }
         match rank? {
@@ -45,7 +45,7 @@
 /// The home of an adapter: the first in its rendezvous order, unless that is much busier than the
 /// next one, or a server that has the adapter at hand is not much busier. The order is of the servers of
 /// the region that asks, if it has any: a fetch costs the same there, and the way is spared.
-pub fn home(key: &AdapterKey, open: &[Home]) -> Option<Rc<str>> {
+pub fn choose_load_target(key: &AdapterKey, open: &[LoadTarget]) -> Option<Rc<str>> {
     let any_near = open.iter().any(|home| home.is_near);
     let ranking = open.iter().filter(|home| home.is_near || !any_near);
     let order = ranked(&key.adapter, ranking.map(|home| &*home.server));
--- a/crates/portrack/src/gateway/choosing/placing.rs
+++ b/crates/portrack/src/gateway/selection/placing.rs
@@ -1,9 +1,9 @@
 //! Chooses the server of a request, and waits for its adapter where that is worth it.
 
-use super::choose::{Offer, better_of_two, cheaper_of_two, cheapest, cost};
-use super::crowding::{copy_pays, is_crowded, near_copy_pays};
-use super::demand::Wish;
-use super::homes::{Home, home};
+use super::choose::{ScoredServer, better_of_two, cheaper_of_two, cheapest, cost};
+use super::crowding::{is_copy_worthwhile, is_crowded, is_local_copy_worthwhile};
+use super::demand::LoadRequest;
+use super::load_target::{LoadTarget, choose_load_target};
 use crate::gateway::dialect::AdapterKey;
 use crate::gateway::dispatch::SlotNeed;
 use crate::gateway::fleet::backend::Backend;
@@ -101,7 +101,7 @@
     ) -> Option<Choice> {
         let now = self.clock.now();
         let open = open.filter(|backend| !job.full.borrow().contains(&backend.id));
-        let backend = match self.loads_lag.get() {
+        let backend = match self.loads_are_delayed.get() {
             true => {
                 let id = &job.request.meta.id;
                 cheaper_of_two(now, &self.loads, &self.locality, id, &job.tried, open)
@@ -177,7 +177,7 @@
 
     /// Wishes for an adapter at its home for some requests besides those that missed it; true if that
     /// was done.
-    pub(in crate::gateway) fn wish_for(
+    pub(in crate::gateway) fn request_load(
         &self,
         service: &str,
         key: &AdapterKey,
@@ -194,12 +194,12 @@
             return false;
         }
         let version = view.newest_version(key);
-        let outdated = view.holdings.holders(now, key);
+        let outdated = view.adapter_locations.holders(now, key);
         let open = view.open_backends(service).filter(|backend| {
             let here = at == Where::Anywhere || !self.locality.is_remote(&backend.hall);
             let holds = backend.model(&key.model).is_some();
             let old = outdated.iter().any(|(id, _)| *id == backend.id);
-            let refused = view.holdings.is_refused(now, key, &backend.id);
+            let refused = view.adapter_locations.is_refused(now, key, &backend.id);
             let cut = self.loads.is_hall_silent(&backend.hall);
             here && may_serve(backend)
                 && holds
@@ -212,22 +212,24 @@
             open.partition(|backend| self.backpressure.is_full(backend.incarnation_hash()));
         // What is loaded at a server without room within its limit could not be used there.
         let among = if roomy.is_empty() { full } else { roomy };
-        let homes: Vec<Home> = among
+        let homes: Vec<LoadTarget> = among
             .into_iter()
-            .map(|backend| Home {
+            .map(|backend| LoadTarget {
                 server: backend.id.clone(),
                 slots: backend.slots,
                 cost: cost(now, &self.loads, &self.locality, backend),
                 is_near: !self.locality.is_remote(&backend.hall),
-                at_hand: view.holdings.is_at_hand(key, &backend.id, version),
+                is_cached: view.adapter_locations.is_cached(key, &backend.id, version),
             })
             .collect();
         let replaceable = || match at {
             Where::Anywhere => self.replaceable(&view, &outdated, &may_serve),
             Where::Near => None,
         };
-        let Some(server) = home(key, &homes).or_else(replaceable) else { return false };
-        self.demand.wish(now, Wish { server, key: key.clone(), version, requests })
+        let Some(server) = choose_load_target(key, &homes).or_else(replaceable) else {
+            return false;
+        };
+        self.demand.wish(now, LoadRequest { server, key: key.clone(), version, requests })
     }
 
     /// A server that holds an older version, for an adapter that has no other home.
@@ -264,7 +266,7 @@
         let oldest = usable.map_or(FIRST_VERSION, |versions| versions.oldest);
         let (current, outdated) = self.holders(job, key, newest, takes);
         let id = &job.request.meta.id;
-        let lag = self.loads_lag.get();
+        let lag = self.loads_are_delayed.get();
         let best = self.spread(id, &current, lag);
         let crowded = best.is_none_or(|best| is_crowded(best.backend.slots, best.cost));
         // An older version must not begin late: a request for it goes only where it need not wait.
@@ -296,7 +298,7 @@
     ) -> (Vec<Holder>, Vec<Holder>) {
         let now = self.clock.now();
         let view = self.view.borrow();
-        let holders = view.holdings.holders(now, key).into_iter();
+        let holders = view.adapter_locations.holders(now, key).into_iter();
         let untried = holders.filter_map(|(id, version)| {
             let backend = view.backend(&id)?;
             let cut = self.loads.is_hall_silent(&backend.hall);
@@ -327,7 +329,7 @@
         let newest = usable.map_or(FIRST_VERSION, |versions| versions.newest);
         let (mut current, _) = self.holders(job, &key, newest, takes_all);
         current.retain(|holder| !asked.contains(&holder.backend.id));
-        let other = self.spread(&job.request.meta.id, &current, self.loads_lag.get())?;
+        let other = self.spread(&job.request.meta.id, &current, self.loads_are_delayed.get())?;
         Some(chosen(job, other, usable))
     }
 
@@ -338,7 +340,7 @@
         let view = self.view.borrow();
         let open = view.accepts_requests(now, &choice.backend.id);
         let Some(key) = job.adapter().filter(|_| job.model().is_some()) else { return open };
-        let mut holders = view.holdings.holders(now, &key).into_iter();
+        let mut holders = view.adapter_locations.holders(now, &key).into_iter();
         let holds = holders.any(|(id, _)| id == choice.backend.id);
         let usable = view.usable_versions(now, &key);
         let is_usable = usable.is_none_or(|versions| {
@@ -357,21 +359,27 @@
         let open = self.candidates(&view, job);
         let costs = open.map(|backend| cost(now, &self.loads, &self.locality, backend));
         let idlest = costs.fold(f64::MAX, f64::min);
-        copy_pays(slots, cost_here, idlest, self.demand.asks(now, key))
+        is_copy_worthwhile(slots, cost_here, idlest, self.demand.asks(now, key))
     }
 
     /// True if only servers of other regions hold an adapter that is asked for again and again here.
     fn needs_near_copy(&self, key: &AdapterKey, holders: &[Holder]) -> bool {
         let far = holders.iter().all(|holder| self.locality.is_remote(&holder.backend.hall));
-        far && near_copy_pays(self.demand.asks(self.clock.now(), key))
+        far && is_local_copy_worthwhile(self.demand.asks(self.clock.now(), key))
     }
 
     /// The first of some holders, which come with the cheapest first; where loads are known late, the
     /// better of two that are chosen at random among those that are not in trouble.
-    fn spread<'a>(&self, id: &str, holders: &'a [Holder], loads_lag: bool) -> Option<&'a Holder> {
-        let offer = |holder: &Holder| Offer::new(holder.cost, &self.locality, &holder.backend);
-        let offers = || holders.iter().map(offer).collect::<Vec<Offer>>();
-        let at = if loads_lag { better_of_two(id, &offers()) } else { 0 };
+    fn spread<'a>(
+        &self,
+        id: &str,
+        holders: &'a [Holder],
+        loads_are_delayed: bool,
+    ) -> Option<&'a Holder> {
+        let offer =
+            |holder: &Holder| ScoredServer::new(holder.cost, &self.locality, &holder.backend);
+        let offers = || holders.iter().map(offer).collect::<Vec<ScoredServer>>();
+        let at = if loads_are_delayed { better_of_two(id, &offers()) } else { 0 };
         holders.get(at)
     }
 
@@ -388,15 +396,20 @@
     }
 
     /// A server that turned a request for an adapter away does not hold it, or not that version.
-    pub(in crate::gateway) fn note_turned_away(&self, job: &Job<'_>, choice: &Choice, status: u16) {
+    pub(in crate::gateway) fn record_misdirected(
+        &self,
+        job: &Job<'_>,
+        choice: &Choice,
+        status: u16,
+    ) {
         let Some(key) = job.adapter().filter(|_| status == 421) else { return };
         let now = self.clock.now();
-        if !self.loads.is_present(&choice.backend) {
+        if !self.loads.is_current_incarnation(&choice.backend) {
             return;
         }
         let (server, version) = (&choice.backend.id, choice.adapter_version);
         let mut view = self.view.borrow_mut();
-        view.holdings.turned_away(now, &key, server, version, now + FOUND_HOLDS);
+        view.adapter_locations.record_rejection(now, &key, server, version, now + FOUND_HOLDS);
     }
 }
 
--- a/crates/portrack/src/gateway/choosing/replicas.rs
+++ b/crates/portrack/src/gateway/selection/replicas.rs
@@ -20,7 +20,7 @@
 const MOST_AT_ONCE: usize = 4;
 
 /// How long requests run on average, by the number of those that run and how many begin a second.
-pub fn run_time(running: f64, per_second: f64) -> Duration {
+pub fn mean_run_time(running: f64, per_second: f64) -> Duration {
     if per_second < 1.0 {
         return FIRST_GUESS;
     }
--- a/crates/portrack/src/gateway/store_sync/following.rs
+++ b/crates/portrack/src/gateway/store_sync/following.rs
@@ -208,7 +208,7 @@
     /// Takes a frame in; `None` if its sender took this daemon to know something else.
     fn take_frame(self: &Rc<Self>, source: SocketAddr, frame: FeedFrame) -> Option<()> {
         let now = self.now();
-        self.path.loads.report(now, &frame.loads);
+        self.path.loads.record_reports(now, &frame.loads);
         if !frame.notices.is_empty() {
             self.on_notices(&frame.notices);
         }
--- a/crates/portrack/tests/gateway/arrivals.rs
+++ b/crates/portrack/tests/gateway/arrivals.rs
@@ -3,8 +3,8 @@
 use crate::support::ms;
 use portrack::Time;
 use portrack::gateway::{
-    AskId, ColdBound, ColdRule, ColdStart, GrantAnswer, GrantAsk, GrantEnd, GrantOrder, Granter,
-    OrganisationMark, OwnShares, ReadingPace, ServerRule, makes_way,
+    CallId, ColdBound, ColdRule, ColdStart, FallbackShares, GrantAnswer, GrantEnd, GrantReply,
+    GrantRequest, Granter, OrganisationMark, PrefillRate, ServerRule, choose_evicted,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,8 +19,8 @@
     ([10, 0, high, low], 7_000).into()
 }
 
-fn ask(number: u32, tokens: u32) -> GrantAsk {
-    GrantAsk {
+fn ask(number: u32, tokens: u32) -> GrantRequest {
+    GrantRequest {
         ask: number,
         server: 1,
         organisation: Some(OrganisationMark(1)),
@@ -34,8 +34,8 @@
     }
 }
 
-fn id(number: u32) -> AskId {
-    AskId { from: from(1), ask: number }
+fn id(number: u32) -> CallId {
+    CallId { from: from(1), call: number }
 }
 
 fn bound() -> ColdBound {
@@ -47,16 +47,16 @@
 const COLD_MOST: usize = 17;
 
 fn cold(cold: bool) -> ServerRule {
-    ServerRule { cold: Some(ColdRule { bound: bound(), cold, stands_in: false }), limit: None }
+    ServerRule { cold: Some(ColdRule { bound: bound(), cold, is_stand_in: false }), limit: None }
 }
 
-fn granted(orders: &[GrantOrder]) -> Vec<u32> {
+fn granted(orders: &[GrantReply]) -> Vec<u32> {
     let granted = orders.iter().filter(|(_, answer)| matches!(answer, GrantAnswer::Granted(_)));
-    granted.map(|(id, _)| id.ask).collect()
+    granted.map(|(id, _)| id.call).collect()
 }
 
 fn end(granter: &mut Granter, now: u64, number: u32, end: GrantEnd) -> Vec<u32> {
-    granted(&granter.ended(Time(now), id(number), end, &FREE, &mut ReadingPace::default()))
+    granted(&granter.ended(Time(now), id(number), end, &FREE, &mut PrefillRate::default()))
 }
 
 #[test]
@@ -66,8 +66,8 @@
     let second = granter.ask(Time(1), from(1), ask(2, 3_000), &FREE, PACE);
     assert!(matches!(second[..], [(_, GrantAnswer::Waits(1..300))]), "{second:?}");
     assert_eq!(end(&mut granter, 160, 1, GrantEnd::Begun(150)), [0_u32; 0]);
-    assert_eq!(granter.pass_time(Time(299), &FREE, PACE), []);
-    assert_eq!(granted(&granter.pass_time(Time(301), &FREE, PACE)), [2]);
+    assert_eq!(granter.tick(Time(299), &FREE, PACE), []);
+    assert_eq!(granted(&granter.tick(Time(301), &FREE, PACE)), [2]);
 }
 
 /// Doubt costs time, never a request: the word that a prompt is read may be lost.
@@ -76,8 +76,8 @@
     let mut granter = Granter::new(Time(0));
     granter.ask(Time(0), from(1), ask(1, 3_000), &FREE, PACE);
     granter.ask(Time(1), from(1), ask(2, 3_000), &FREE, PACE);
-    assert_eq!(granter.pass_time(Time(599), &FREE, PACE), []);
-    assert_eq!(granted(&granter.pass_time(Time(601), &FREE, PACE)), [2]);
+    assert_eq!(granter.tick(Time(599), &FREE, PACE), []);
+    assert_eq!(granted(&granter.tick(Time(601), &FREE, PACE)), [2]);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     assert_eq!(end(&mut granter, 5, 1, GrantEnd::Unsent), [2]);
     granter.ask(Time(6), from(1), ask(3, 4_000), &FREE, PACE);
     end(&mut granter, 7, 3, GrantEnd::Unsent);
-    assert_eq!(granted(&granter.pass_time(Time(400), &FREE, PACE)), [0_u32; 0], "3 has gone");
+    assert_eq!(granted(&granter.tick(Time(400), &FREE, PACE)), [0_u32; 0], "3 has gone");
 }
 
 #[test]
@@ -109,15 +109,15 @@
 
 #[test]
 fn urgent_requests_pass_and_what_cannot_be_in_time_goes_last_but_goes() {
-    let soon = |number| GrantAsk { left_ms: 1_500, ..ask(number, 4_000) };
+    let soon = |number| GrantRequest { left_ms: 1_500, ..ask(number, 4_000) };
     let mut granter = Granter::new(Time(0));
     granter.ask(Time(0), from(1), ask(1, 4_000), &FREE, PACE);
-    granter.ask(Time(1), from(1), GrantAsk { left_ms: 0, ..ask(2, 4_000) }, &FREE, PACE);
+    granter.ask(Time(1), from(1), GrantRequest { left_ms: 0, ..ask(2, 4_000) }, &FREE, PACE);
     granter.ask(Time(2), from(1), soon(3), &FREE, PACE);
-    granter.ask(Time(3), from(1), GrantAsk { priority: 0, ..soon(4) }, &FREE, PACE);
+    granter.ask(Time(3), from(1), GrantRequest { priority: 0, ..soon(4) }, &FREE, PACE);
     let mut order = Vec::new();
     for now in (5..2_000).step_by(5) {
-        order.extend(granted(&granter.pass_time(Time(now), &FREE, PACE)));
+        order.extend(granted(&granter.tick(Time(now), &FREE, PACE)));
     }
     assert_eq!(order, [4, 3, 2]);
 }
@@ -142,10 +142,10 @@
 fn the_last_of_the_organisation_with_most_waiting_makes_way() {
     let mark = |organisation| Some(OrganisationMark(organisation));
     let waiting = [(mark(1), 5), (mark(2), 9), (mark(1), 7), (mark(1), 6), (mark(2), 1)];
-    assert_eq!(makes_way(&waiting), 2);
-    assert_eq!(makes_way(&[(mark(1), 5), (mark(2), 4)]), 1, "the newest, if none has several");
+    assert_eq!(choose_evicted(&waiting), 2);
+    assert_eq!(choose_evicted(&[(mark(1), 5), (mark(2), 4)]), 1, "the newest, if none has several");
     assert_eq!(
-        makes_way(&[(None, 5), (None, 6), (mark(2), 4)]),
+        choose_evicted(&[(None, 5), (None, 6), (mark(2), 4)]),
         2,
         "nobody's are no organisation's"
     );
@@ -200,8 +200,8 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let mut engine = Engine { queue: VecDeque::new(), now: 0.0, steps: Vec::new() };
     let mut granter = Granter::new(Time(0));
-    let mut pace = ReadingPace::default();
-    let mut asks: BTreeMap<u32, (u64, GrantAsk)> = BTreeMap::new();
+    let mut pace = PrefillRate::default();
+    let mut asks: BTreeMap<u32, (u64, GrantRequest)> = BTreeMap::new();
     let mut played = Played {
         longest_pause: 0.0,
         waits: Vec::new(),
@@ -219,7 +219,7 @@
             number += 1;
             let tokens = (200.0 + 800.0 * -random.random::<f64>().max(0.01).ln()) as u32;
             let organisation = OrganisationMark(organisation);
-            let ask = GrantAsk { organisation: Some(organisation), ..ask(number, tokens) };
+            let ask = GrantRequest { organisation: Some(organisation), ..ask(number, tokens) };
             *played.asked.entry(organisation.0).or_default() += 1;
             asks.insert(number, (now, ask.clone()));
             match granting {
@@ -228,19 +228,19 @@
             }
         }
         if now % 20 == 0 {
-            orders.extend(granter.pass_time(Time(now), &FREE, PACE));
+            orders.extend(granter.tick(Time(now), &FREE, PACE));
         }
         for read in engine.until(now as f64) {
             let begun = GrantEnd::Begun(100);
             orders.extend(granter.ended(Time(now), id(read), begun, &FREE, &mut pace));
         }
         for (id, answer) in orders {
-            let (at, ask) = asks[&id.ask].clone();
+            let (at, ask) = asks[&id.call].clone();
             let organisation = ask.organisation.map_or(0, |mark| mark.0);
             match answer {
                 GrantAnswer::Granted(_) => {
                     played.waits.push((ask.tokens, organisation, now - at));
-                    engine.queue.push_back((id.ask, ask.tokens.into()));
+                    engine.queue.push_back((id.call, ask.tokens.into()));
                 }
                 GrantAnswer::Refused(_) => *played.refused.entry(organisation).or_default() += 1,
                 GrantAnswer::Waits(_) => {}
@@ -314,7 +314,7 @@
 fn who_waits_for_a_cold_server_has_its_turn_when_a_second_has_passed() {
     let mut granter = Granter::new(Time(0));
     let rule = cold(true);
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillRate::default();
     let mut given = Vec::new();
     for number in 0..20 {
         given.extend(granted(&granter.ask(Time(2_000), from(1), ask(number, 10), &rule, PACE)));
@@ -323,11 +323,11 @@
     for number in given {
         granter.ended(Time(2_100), id(number), GrantEnd::Begun(50), &rule, &mut pace);
     }
-    assert_eq!(granter.pass_time(Time(2_500), &rule, PACE), []);
-    let left = GrantAsk { left_ms: 900, ..ask(100, 10) };
+    assert_eq!(granter.tick(Time(2_500), &rule, PACE), []);
+    let left = GrantRequest { left_ms: 900, ..ask(100, 10) };
     let waits = granter.ask(Time(2_600), from(1), left, &rule, PACE);
     assert!(matches!(waits[..], [(_, GrantAnswer::Waits(_))] | [_, _]), "{waits:?}");
-    assert!(!granted(&granter.pass_time(Time(3_100), &rule, PACE)).is_empty());
+    assert!(!granted(&granter.tick(Time(3_100), &rule, PACE)).is_empty());
 }
 
 #[test]
@@ -337,7 +337,7 @@
     for number in 0..100 {
         let now = Time(2_000 + u64::from(number));
         assert_eq!(granted(&granter.ask(now, from(1), ask(number, 0), &rule, PACE)), [number]);
-        let pace = &mut ReadingPace::default();
+        let pace = &mut PrefillRate::default();
         granter.ended(now, id(number), GrantEnd::TurnedAway, &rule, pace);
     }
 }
@@ -347,14 +347,14 @@
     let everybody: Vec<SocketAddr> = (0..60).map(from).collect();
     let sharers = |server| {
         let is_sharer = |me: &&SocketAddr| {
-            let mut shares = OwnShares::new(Time(0));
-            shares.know(Time(0), everybody.iter().copied());
+            let mut shares = FallbackShares::new(Time(0));
+            shares.update_daemons(Time(0), everybody.iter().copied());
             shares.is_sharer(server, **me, 2)
         };
         everybody.iter().filter(is_sharer).count()
     };
     assert!((0..20).all(|server| sharers(server) == 2));
-    let mut shares = OwnShares::new(Time(0));
+    let mut shares = FallbackShares::new(Time(0));
     assert!(!shares.take(Time(900), 1), "it may have sent before it started");
     assert!(shares.take(Time(1_300), 1) && !shares.take(Time(2_400), 1));
     assert!(shares.take(Time(2_400), 2) && shares.take(Time(2_600), 1));
@@ -363,10 +363,10 @@
 /// A daemon that is cut off from all others must not take itself for one of a few.
 #[test]
 fn a_daemon_that_hears_nobody_any_more_has_no_larger_share() {
-    let mut shares = OwnShares::new(Time(0));
-    shares.know(Time(0), (0..60).map(from));
+    let mut shares = FallbackShares::new(Time(0));
+    shares.update_daemons(Time(0), (0..60).map(from));
     let before: Vec<bool> = (0..50).map(|server| shares.is_sharer(server, from(7), 2)).collect();
-    shares.know(Time(120_000), std::iter::empty());
+    shares.update_daemons(Time(120_000), std::iter::empty());
     let after: Vec<bool> = (0..50).map(|server| shares.is_sharer(server, from(7), 2)).collect();
     assert_eq!(before, after);
     assert!(before.contains(&true) && before.contains(&false));
@@ -375,7 +375,7 @@
 #[test]
 fn the_pace_of_reading_is_told_apart_from_the_way() {
     let mut random = SmallRng::seed_from_u64(4);
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillRate::default();
     assert!(pace.get() <= 10.0, "before anything is known, servers are taken for slow");
     for _ in 0..200 {
         let tokens = random.random_range(200..4_000);
@@ -405,12 +405,12 @@
 fn cold_arrivals(seed: u64, trouble: f64) -> Vec<u64> {
     let mut random = SmallRng::seed_from_u64(seed);
     let rule = cold(true);
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillRate::default();
     let mut granters = [Granter::new(Time(0)), Granter::new(Time(0))];
-    let mut shares: Vec<OwnShares> = (0..60)
+    let mut shares: Vec<FallbackShares> = (0..60)
         .map(|_| {
-            let mut shares = OwnShares::new(Time(0));
-            shares.know(Time(0), (0..60).map(from));
+            let mut shares = FallbackShares::new(Time(0));
+            shares.update_daemons(Time(0), (0..60).map(from));
             shares
         })
         .collect();
@@ -495,14 +495,12 @@
             }
         }
         if now % 20 == 0 {
-            granters
-                .iter_mut()
-                .for_each(|one| orders.extend(one.pass_time(Time(now), &rule, PACE)));
+            granters.iter_mut().for_each(|one| orders.extend(one.tick(Time(now), &rule, PACE)));
         }
         for (id, answer) in orders {
             let copies = usize::from(random.random::<f64>() > 0.05);
             (0..copies)
-                .for_each(|_| flying.push((delay(&mut random), Flying::Answer(id.ask, answer))));
+                .for_each(|_| flying.push((delay(&mut random), Flying::Answer(id.call, answer))));
         }
     }
     arrived
@@ -534,8 +532,8 @@
         });
         granted(&orders.flatten().collect::<Vec<_>>()).len()
     };
-    let rule = |stands_in: bool| ServerRule {
-        cold: Some(ColdRule { bound: bound(), cold: false, stands_in }),
+    let rule = |is_stand_in: bool| ServerRule {
+        cold: Some(ColdRule { bound: bound(), cold: false, is_stand_in }),
         limit: None,
     };
     let others = 2 * bound().sharers();
@@ -545,7 +543,7 @@
     let new = given(&rule(false), 0);
     assert!(first + new + others <= COLD_MOST, "{first}, and {new} of one that has just begun");
     let cold = ServerRule {
-        cold: Some(ColdRule { bound: bound(), cold: true, stands_in: true }),
+        cold: Some(ColdRule { bound: bound(), cold: true, is_stand_in: true }),
         limit: None,
     };
     assert_eq!(given(&cold, 0), 0, "nothing in its first second to one that is cold");
--- a/crates/portrack/tests/gateway/dispatch.rs
+++ b/crates/portrack/tests/gateway/dispatch.rs
@@ -2,7 +2,7 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    AskId, Dispatcher, OrganisationMark, ServerSlots, SlotAnswer, SlotAsk, SlotEnd, SlotOrder,
+    CallId, Dispatcher, OrganisationMark, ServerSlots, SlotAnswer, SlotAsk, SlotEnd, SlotOrder,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,8 +20,8 @@
     SlotAsk { ask: number, service: 1, organisation, left_ms, tried: Vec::new() }
 }
 
-fn id(number: u32) -> AskId {
-    AskId { from: from(1), ask: number }
+fn id(number: u32) -> CallId {
+    CallId { from: from(1), call: number }
 }
 
 fn dispatcher(servers: u32, slots: usize) -> Dispatcher {
@@ -175,7 +175,7 @@
         }
         for (id, answer) in dispatcher.ask(Time(0), from(1), next) {
             if let SlotAnswer::Refused(_) = answer {
-                refused[usize::from(id.ask % 4 == 0)] += 1;
+                refused[usize::from(id.call % 4 == 0)] += 1;
             }
         }
     }
@@ -190,7 +190,7 @@
     const OTHERS: u64 = 15;
     let mut random = SmallRng::seed_from_u64(3);
     let mut dispatcher = dispatcher(3, 6);
-    let mut ends: Vec<(u64, AskId)> = Vec::new();
+    let mut ends: Vec<(u64, CallId)> = Vec::new();
     let mut owner = BTreeMap::<u32, u64>::new();
     let (mut asked, mut refused) = ([0_u32; 2], [0_u32; 2]);
     let mut number = 0;
@@ -215,7 +215,7 @@
             match answer {
                 // Six of the requests at a server run at once, the others wait there.
                 SlotAnswer::Granted(_) => ends.push((now + 156, id)),
-                SlotAnswer::Refused(_) => refused[usize::from(owner[&id.ask] > 0)] += 1,
+                SlotAnswer::Refused(_) => refused[usize::from(owner[&id.call] > 0)] += 1,
                 SlotAnswer::Waits => {}
             }
         }
@@ -284,7 +284,7 @@
 fn a_dispatcher_serves_more_in_time_than_news_that_comes_late() {
     let late = play(188.0, idlest_heard());
     let mut dispatcher = dispatcher(3, 6);
-    let mut ends: Vec<(u64, AskId)> = Vec::new();
+    let mut ends: Vec<(u64, CallId)> = Vec::new();
     let dispatched = play(188.0, |now, number| {
         let (over, running): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(end, _)| *end <= now);
         ends = running;
--- a/crates/portrack/tests/gateway/former.rs
+++ b/crates/portrack/tests/gateway/former.rs
@@ -2,9 +2,9 @@
 //! builds hear each other meanwhile.
 
 use portrack::gateway::{
-    Capabilities, ClaimRecord, EraReport, EraTracker, GrantAsk, GrantMessage, Heartbeat,
-    LimitReport, OrganisationMark, PeerMessage, RateLimit, RecordEras, SyncReport, SyncState, Work,
-    decode_message, encode_message,
+    Capabilities, ClaimRecord, EraReport, EraTracker, GrantMessage, GrantRequest, Heartbeat,
+    LimitReport, OrganisationMark, OutstandingWork, PeerMessage, RateLimit, RecordEras, SyncReport,
+    SyncState, decode_message, encode_message,
 };
 use portrack::store::StoreEra;
 use portrack::types::Time;
@@ -71,7 +71,7 @@
         sees_store: true,
         watches: true,
         orders: vec![7, 0xff00_0001],
-        work: vec![(7, Work { requests: 3, waiting_tokens: 1_400 })],
+        work: vec![(7, OutstandingWork { requests: 3, waiting_tokens: 1_400 })],
         known: vec!["10.1.0.39:7380".parse().expect("an address")],
         heard: 3,
         capacity: 100,
@@ -86,8 +86,8 @@
     }
 }
 
-fn ask() -> GrantAsk {
-    GrantAsk {
+fn ask() -> GrantRequest {
+    GrantRequest {
         ask: 42,
         server: 0xff00_0001,
         organisation: Some(OrganisationMark(9)),
@@ -113,7 +113,7 @@
     assert!(!expected.capabilities.enforces_limits());
     assert_eq!(read, PeerMessage::Heartbeat(expected));
     let read = decode_message(&bytes(FORMER_ASK)).expect("an ask");
-    assert_eq!(read, PeerMessage::Grants(GrantMessage::Ask(GrantAsk { limit: None, ..ask() })));
+    assert_eq!(read, PeerMessage::Grants(GrantMessage::Ask(GrantRequest { limit: None, ..ask() })));
 }
 
 /// The build before drops a message only for its first byte, or where its own fields cannot be read.
@@ -149,7 +149,10 @@
     for rate in [f64::NAN, f64::INFINITY, -1.0] {
         bytes[at..at + 8].copy_from_slice(&rate.to_le_bytes());
         let read = decode_message(&bytes).expect("an ask");
-        assert_eq!(read, PeerMessage::Grants(GrantMessage::Ask(GrantAsk { limit: None, ..ask() })));
+        assert_eq!(
+            read,
+            PeerMessage::Grants(GrantMessage::Ask(GrantRequest { limit: None, ..ask() }))
+        );
     }
 }
 
--- a/crates/portrack/tests/gateway/limits.rs
+++ b/crates/portrack/tests/gateway/limits.rs
@@ -5,8 +5,8 @@
 use crate::support::ms;
 use portrack::Time;
 use portrack::gateway::{
-    AnnouncementQueue, GrantAnswer, GrantAsk, GrantEnd, Granter, LimitRule, RateBucket, RateLimit,
-    ReadingPace, ServerRule,
+    AnnouncementQueue, GrantAnswer, GrantEnd, GrantRequest, Granter, LimitRule, PrefillRate,
+    RateBucket, RateLimit, ServerRule,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -71,8 +71,8 @@
     comes.map(|(at, _)| at).collect()
 }
 
-fn ask(number: u32) -> GrantAsk {
-    GrantAsk {
+fn ask(number: u32) -> GrantRequest {
+    GrantRequest {
         ask: number,
         server: 1,
         organisation: None,
@@ -104,11 +104,11 @@
         Self { granter: Granter::new(Time(now)), rule, given: Vec::new() }
     }
 
-    fn take(&mut self, now: u64, orders: Vec<portrack::gateway::GrantOrder>) {
+    fn take(&mut self, now: u64, orders: Vec<portrack::gateway::GrantReply>) {
         for (id, answer) in orders {
             if matches!(answer, GrantAnswer::Granted(_)) {
                 self.given.push(now);
-                let mut pace = ReadingPace::default();
+                let mut pace = PrefillRate::default();
                 let end = GrantEnd::Begun(5);
                 let more = self.granter.ended(Time(now), id, end, &self.rule, &mut pace);
                 self.take(now, more);
@@ -122,7 +122,7 @@
     }
 
     fn pass_time(&mut self, now: u64) {
-        let orders = self.granter.pass_time(Time(now), &self.rule, 1.0);
+        let orders = self.granter.tick(Time(now), &self.rule, 1.0);
         self.take(now, orders);
     }
 }
@@ -190,7 +190,7 @@
     let [(id, GrantAnswer::Granted(_))] = orders[..] else { panic!("{orders:?}") };
     giving.ask(1_001, 1, 2);
     assert!(giving.given.is_empty(), "there is no room for a second one");
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillRate::default();
     giving.granter.ended(Time(1_002), id, GrantEnd::Unsent, &giving.rule, &mut pace);
     giving.ask(1_003, 1, 3);
     assert_eq!(giving.given.len(), 1);
@@ -200,7 +200,7 @@
 fn what_cannot_have_its_turn_in_time_is_refused_at_once_with_a_time_to_come_back() {
     let mut giving = Giving::new(0, 1.0, false);
     giving.ask(1_000, 1, 1);
-    let refused = |orders: Vec<portrack::gateway::GrantOrder>| match orders[..] {
+    let refused = |orders: Vec<portrack::gateway::GrantReply>| match orders[..] {
         [(_, GrantAnswer::Refused(after))] => after,
         _ => panic!("{orders:?}"),
     };
@@ -215,9 +215,9 @@
 fn urgent_requests_have_their_turns_first() {
     let mut giving = Giving::new(0, 2.0, false);
     giving.ask(1_000, 1, 1);
-    let urgent = GrantAsk { priority: 0, ..ask(3) };
-    let late = GrantAsk { priority: 5, ..ask(2) };
-    let waits = |orders: &[portrack::gateway::GrantOrder]| {
+    let urgent = GrantRequest { priority: 0, ..ask(3) };
+    let late = GrantRequest { priority: 5, ..ask(2) };
+    let waits = |orders: &[portrack::gateway::GrantReply]| {
         orders.iter().any(|(_, answer)| matches!(answer, GrantAnswer::Waits(_)))
     };
     assert!(waits(&giving.granter.ask(Time(1_010), from(1), late, &giving.rule, 1.0)));
@@ -225,7 +225,7 @@
     let refused: Vec<u32> = orders
         .iter()
         .filter(|(_, answer)| matches!(answer, GrantAnswer::Refused(_)))
-        .map(|(id, _)| id.ask)
+        .map(|(id, _)| id.call)
         .collect();
     assert_eq!(refused, [2], "the other one makes way: {orders:?}");
 }
--- a/crates/portrack/tests/gateway/lives.rs
+++ b/crates/portrack/tests/gateway/lives.rs
@@ -3,9 +3,9 @@
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
 use portrack::gateway::{
-    Backend, EntryStatus, Holdings, LoadRequestAnswer, LoadTable, MAX_REMOVED_INCARNATIONS, Plan,
-    PlanOutcome, PlannedLoad, Planner, Presence, ServerIncarnations, ServerLoad, ServerReport,
-    Work, incarnation_hash,
+    AdapterLocations, Backend, EntryStatus, LoadRequestAnswer, LoadTable, MAX_REMOVED_INCARNATIONS,
+    OutstandingWork, Plan, PlanOutcome, PlannedLoad, Planner, Presence, ServerIncarnations,
+    ServerLoad, ServerReport, incarnation_hash,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -309,42 +309,45 @@
     let loads = Rc::new(LoadTable::default());
     let id: Rc<str> = "s1".into();
     let (former, present) = (life("s1", Some(1), 0, false), life("s1", Some(2), 0, false));
-    loads.lives(&id, former.incarnation_hash());
+    loads.set_incarnation(&id, former.incarnation_hash());
     let guard = loads.begin(Time(0), &id, 100);
     loads.unreachable(Time(0), &id);
-    loads.report(Time(0), &[ServerLoad { server: former.incarnation_hash(), requests: 9 }]);
-    loads.lives(&id, present.incarnation_hash());
-    assert_eq!(loads.work(Time(10), "s1"), Work::default());
+    loads.record_reports(Time(0), &[ServerLoad { server: former.incarnation_hash(), requests: 9 }]);
+    loads.set_incarnation(&id, present.incarnation_hash());
+    assert_eq!(loads.work(Time(10), "s1"), OutstandingWork::default());
     assert!(!loads.is_unreachable(Time(10), "s1") && loads.failure_rate(Time(10), "s1") == 0.0);
     let _own = loads.begin(Time(20), &id, 5);
     drop(guard);
     assert_eq!(loads.work(Time(30), "s1").requests, 1, "the former life's request was another one");
-    loads.outcome_of(Time(40), &former, true);
+    loads.record_outcome_of(Time(40), &former, true);
     assert_eq!(loads.failure_rate(Time(40), "s1"), 0.0);
-    loads.outcome_of(Time(40), &present, true);
+    loads.record_outcome_of(Time(40), &present, true);
     assert!(loads.failure_rate(Time(40), "s1") > 0.0);
 }
 
 #[test]
 fn what_is_told_late_of_a_former_life_fits_no_server() {
     let loads = Rc::new(LoadTable::default());
-    loads.lives(&"s1".into(), incarnation_hash("s1", Some(2)));
-    let work = Work { requests: 7, waiting_tokens: 70 };
-    loads.peer(Time(0), &"n2".into(), vec![(incarnation_hash("s1", Some(1)), work)]);
-    loads.report(Time(0), &[ServerLoad { server: incarnation_hash("s1", Some(1)), requests: 9 }]);
-    assert_eq!(loads.work(Time(10), "s1"), Work::default());
+    loads.set_incarnation(&"s1".into(), incarnation_hash("s1", Some(2)));
+    let work = OutstandingWork { requests: 7, waiting_tokens: 70 };
+    loads.set_peer_work(Time(0), &"n2".into(), vec![(incarnation_hash("s1", Some(1)), work)]);
+    loads.record_reports(
+        Time(0),
+        &[ServerLoad { server: incarnation_hash("s1", Some(1)), requests: 9 }],
+    );
+    assert_eq!(loads.work(Time(10), "s1"), OutstandingWork::default());
 }
 
 #[test]
 fn a_new_life_holds_nothing_of_the_former_one() {
-    let mut holdings = Holdings::default();
+    let mut holdings = AdapterLocations::default();
     holdings.list(None, Some(&backend("s1", &[("a1", 1)])));
     holdings.notice(&key("a2"), &"s1".into(), Presence::Held(1), Time(4_000));
     holdings.notice(&key("a2"), &"s2".into(), Presence::Held(1), Time(4_000));
-    holdings.born_again("s1");
+    holdings.server_restarted("s1");
     assert!(holdings.holders(Time(10), &key("a1")).is_empty());
     assert_eq!(holdings.holders(Time(10), &key("a2")), [("s2".into(), 1)]);
-    assert!(!holdings.is_at_hand(&key("a1"), "s1", 1));
+    assert!(!holdings.is_cached(&key("a1"), "s1", 1));
 }
 
 /// A planner before a server in its first life that holds `held`, surveyed.
--- a/crates/portrack/tests/gateway/loads.rs
+++ b/crates/portrack/tests/gateway/loads.rs
@@ -3,7 +3,8 @@
 use crate::support::backend;
 use portrack::Time;
 use portrack::gateway::{
-    LoadTable, Locality, Regions, ServerLoad, Work, cheapest, server_mark, two_of,
+    LoadTable, Locality, OutstandingWork, Regions, ServerLoad, cheapest, server_hash,
+    two_random_choices,
 };
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,10 +31,10 @@
     assert_eq!(chosen(&loads, 100), "s1", "it has had little time so far");
     assert!(loads.is_silent(Time(500), "s1"));
     for guard in &_busy {
-        guard.heard(Time(450));
+        guard.record_activity(Time(450));
     }
     assert_eq!(chosen(&loads, 500), "s2");
-    silent.heard(Time(510));
+    silent.record_activity(Time(510));
     assert_eq!(chosen(&loads, 520), "s1", "it speaks again");
 }
 
@@ -54,19 +55,22 @@
     let loads = Rc::new(LoadTable::default());
     let span = Duration::from_millis(900);
     let asked = loads.begin(Time(0), &"s1".into(), 0);
-    assert!(!loads.heard_within(Time(10), "s1", span), "a question is no answer");
-    asked.heard(Time(200));
+    assert!(!loads.has_answered_within(Time(10), "s1", span), "a question is no answer");
+    asked.record_activity(Time(200));
     drop(asked);
-    assert!(loads.heard_within(Time(1_099), "s1", span), "also when nothing is asked any more");
-    assert!(!loads.heard_within(Time(1_100), "s1", span));
-    assert!(!loads.heard_within(Time(300), "s2", span));
+    assert!(
+        loads.has_answered_within(Time(1_099), "s1", span),
+        "also when nothing is asked any more"
+    );
+    assert!(!loads.has_answered_within(Time(1_100), "s1", span));
+    assert!(!loads.has_answered_within(Time(300), "s2", span));
 }
 
 #[test]
 fn failures_are_remembered_and_fade() {
     let loads = Rc::new(LoadTable::default());
     for _ in 0..5 {
-        loads.outcome(Time(0), &"s1".into(), true);
+        loads.record_outcome(Time(0), &"s1".into(), true);
     }
     assert!(loads.failure_rate(Time(0), "s1") > 0.7);
     assert!(loads.failure_rate(Time(10_000), "s1") < 0.1);
@@ -76,14 +80,14 @@
 }
 
 fn reported(loads: &LoadTable, now: u64, requests: u16) {
-    loads.report(Time(now), &[ServerLoad { server: server_mark("s1"), requests }]);
+    loads.record_reports(Time(now), &[ServerLoad { server: server_hash("s1"), requests }]);
 }
 
 #[test]
 fn what_a_server_reports_outweighs_what_peers_tell_and_own_requests_since_count_on_top() {
     let loads = Rc::new(LoadTable::default());
-    let peers = Work { requests: 9, waiting_tokens: 0 };
-    loads.peer(Time(0), &"n2".into(), vec![(server_mark("s1"), peers)]);
+    let peers = OutstandingWork { requests: 9, waiting_tokens: 0 };
+    loads.set_peer_work(Time(0), &"n2".into(), vec![(server_hash("s1"), peers)]);
     reported(&loads, 100, 20);
     assert_eq!(loads.work(Time(200), "s1").requests, 20);
     let _own = loads.begin(Time(200), &"s1".into(), 0);
@@ -95,11 +99,11 @@
 
 #[test]
 fn requests_are_spread_over_two_different_candidates_each() {
-    assert_eq!(two_of("r1", 0), None);
-    assert_eq!(two_of("r1", 1), Some([0, 0]));
+    assert_eq!(two_random_choices("r1", 0), None);
+    assert_eq!(two_random_choices("r1", 1), Some([0, 0]));
     let mut taken = [0; 8];
     for request in 0..800 {
-        let [first, second] = two_of(&format!("r{request}"), 8).expect("two of eight");
+        let [first, second] = two_random_choices(&format!("r{request}"), 8).expect("two of eight");
         assert_ne!(first, second);
         taken[first] += 1;
         taken[second] += 1;
--- a/crates/portrack/tests/gateway/regions.rs
+++ b/crates/portrack/tests/gateway/regions.rs
@@ -3,9 +3,9 @@
 use crate::support::{backend, key};
 use portrack::Time;
 use portrack::gateway::{
-    AllowedRegions, Backend, Capabilities, DaemonInfo, Daemons, EraReport, Heartbeat, Home,
-    LoadTable, Locality, Offer, Peers, RegionConstraints, Regions, WorkGuard, better_of_two,
-    cheaper_of_two, cheapest, dispatchers, home, silent_regions,
+    AllowedRegions, Backend, Capabilities, DaemonInfo, Daemons, EraReport, Heartbeat, LoadTable,
+    LoadTarget, Locality, OutstandingGuard, Peers, RegionConstraints, Regions, ScoredServer,
+    better_of_two, cheaper_of_two, cheapest, choose_load_target, dispatchers, silent_regions,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
 }
 
 /// Requests of this daemon at a server.
-fn busy(loads: &Rc<LoadTable>, server: &Backend, requests: usize) -> Vec<WorkGuard> {
+fn busy(loads: &Rc<LoadTable>, server: &Backend, requests: usize) -> Vec<OutstandingGuard> {
     (0..requests).map(|_| loads.begin(Time(0), &server.id, 0)).collect()
 }
 
@@ -83,10 +83,10 @@
 
 #[test]
 fn own_servers_in_trouble_leave_the_request_to_others() {
-    let near = Offer { cost: 90.0, is_near: true, is_crowded: true };
-    let far = Offer { cost: 5.0, is_near: false, is_crowded: false };
+    let near = ScoredServer { cost: 90.0, is_near: true, is_crowded: true };
+    let far = ScoredServer { cost: 5.0, is_near: false, is_crowded: false };
     assert_eq!(better_of_two("r1", &[far, near]), 0);
-    let idle = Offer { cost: 8.0, is_near: true, is_crowded: false };
+    let idle = ScoredServer { cost: 8.0, is_near: true, is_crowded: false };
     assert_eq!(better_of_two("r1", &[far, idle, near]), 1);
 }
 
@@ -109,7 +109,7 @@
             .map(|(server, (work, hall))| (*work as f64 + f64::from(u8::from(*hall > 0)), server.id.clone()))
             .collect();
         costs.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-        let two = portrack::gateway::two_of(&id, costs.len()).expect("some");
+        let two = portrack::gateway::two_random_choices(&id, costs.len()).expect("some");
         let expected = costs[two[0].min(two[1])].1.clone();
         let chosen = cheaper_of_two(Time(10), &loads, &locality, &id, &[], servers.iter()).expect("some");
         prop_assert_eq!(&chosen.id, &expected);
@@ -118,15 +118,15 @@
     }
 }
 
-fn homes(near: usize, far: usize) -> Vec<Home> {
+fn homes(near: usize, far: usize) -> Vec<LoadTarget> {
     let way = locality().network_cost("s1");
     let all = (0..near).map(|n| (format!("near{n}"), true));
     let all = all.chain((0..far).map(|n| (format!("far{n}"), false)));
-    let home = |(server, is_near): (String, bool)| Home {
+    let home = |(server, is_near): (String, bool)| LoadTarget {
         server: server.into(),
         slots: 32,
         cost: if is_near { 0.0 } else { way },
-        at_hand: false,
+        is_cached: false,
         is_near,
     };
     all.map(home).collect()
@@ -137,22 +137,22 @@
     let all = homes(4, 40);
     for n in 0..200 {
         let key = key(&format!("a{n}"));
-        let chosen = home(&key, &all).expect("a home");
+        let chosen = choose_load_target(&key, &all).expect("a home");
         assert!(chosen.starts_with("near"), "{chosen}");
         assert_eq!(
-            home(&key, &all[..4]),
+            choose_load_target(&key, &all[..4]),
             Some(chosen),
             "the other region's servers change nothing"
         );
     }
-    assert!(home(&key("a1"), &all[4..]).expect("a home").starts_with("far"));
+    assert!(choose_load_target(&key("a1"), &all[4..]).expect("a home").starts_with("far"));
 }
 
 #[test]
 fn a_copy_at_hand_in_the_other_region_spares_a_fetch() {
     let mut all = homes(4, 4);
-    all[5].at_hand = true;
-    assert_eq!(home(&key("a1"), &all), Some(all[5].server.clone()));
+    all[5].is_cached = true;
+    assert_eq!(choose_load_target(&key("a1"), &all), Some(all[5].server.clone()));
 }
 
 fn daemon(last: u8, hall: &str) -> DaemonInfo {
--- a/crates/portrack/tests/gateway/replicas.rs
+++ b/crates/portrack/tests/gateway/replicas.rs
@@ -1,7 +1,7 @@
 //! How many servers an adapter should be loaded at.
 
 use crate::support::ms;
-use portrack::gateway::{ReplicaDemand, run_time};
+use portrack::gateway::{ReplicaDemand, mean_run_time};
 use std::time::Duration;
 
 /// Demand at one server of 24 slots whose requests run for 1.8 s.
@@ -47,8 +47,8 @@
 
 #[test]
 fn the_time_that_requests_run_follows_from_how_many_run() {
-    assert_eq!(run_time(18.0, 10.0), ms(1_800));
-    assert_eq!(run_time(0.0, 0.0), ms(1_500), "a guess while nothing is known");
-    assert_eq!(run_time(0.0, 10.0), ms(300));
-    assert_eq!(run_time(1_000.0, 2.0), ms(10_000));
+    assert_eq!(mean_run_time(18.0, 10.0), ms(1_800));
+    assert_eq!(mean_run_time(0.0, 0.0), ms(1_500), "a guess while nothing is known");
+    assert_eq!(mean_run_time(0.0, 10.0), ms(300));
+    assert_eq!(mean_run_time(1_000.0, 2.0), ms(10_000));
 }
