--- a/crates/portrack-bench/src/quotas/accounts.rs
+++ b/crates/portrack-bench/src/quotas/accounts.rs
@@ -6,7 +6,8 @@
 use crate::quotas::{HALLS, ORGANISATIONS, QUOTAS, Way};
 use portrack::Time;
 use portrack::gateway::{
-    BlindShare, Capabilities, DaemonInfo, Daemons, Ledger, OrganisationMark, QuotaCount, Verdict,
+    Capabilities, DaemonInfo, Daemons, FallbackShare, OrganisationHash, QuotaCount, QuotaDecision,
+    QuotaLedger,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -111,8 +112,8 @@
 
 /// The gateway's own way: accountants of each hall.
 pub struct WithAccountants {
-    ledgers: Vec<Ledger>,
-    blind: Vec<[BlindShare; ORGANISATIONS]>,
+    ledgers: Vec<QuotaLedger>,
+    blind: Vec<[FallbackShare; ORGANISATIONS]>,
     all: Daemons,
     lives: Vec<u64>,
     on_the_way: Vec<Telling>,
@@ -136,8 +137,8 @@
     }
 }
 
-fn mark(organisation: usize) -> OrganisationMark {
-    OrganisationMark(organisation as u64 + 1)
+fn mark(organisation: usize) -> OrganisationHash {
+    OrganisationHash(organisation as u64 + 1)
 }
 
 impl WithAccountants {
@@ -150,7 +151,7 @@
             capabilities: Capabilities::OWN,
         };
         Self {
-            ledgers: (0..nodes).map(|node| Ledger::new(&hall(node), SLACK)).collect(),
+            ledgers: (0..nodes).map(|node| QuotaLedger::new(&hall(node), SLACK)).collect(),
             blind: vec![Default::default(); nodes],
             all: Daemons::new((0..nodes).map(daemon).collect()),
             lives: vec![1; nodes],
@@ -181,13 +182,13 @@
             }
             let born = self.lives[at] * 1_000_000 + now;
             let verdict = self.ledgers[at].ask(Time(now), mark, quota, units, born);
-            let used = self.ledgers[at].use_of(Time(now), mark, quota);
+            let used = self.ledgers[at].usage(Time(now), mark, quota);
             let share = &mut self.blind[node][organisation];
-            share.told(Time(now), used);
-            if verdict == Verdict::Granted {
-                share.granted(Time(now), units);
+            share.update_usage(Time(now), used);
+            if verdict == QuotaDecision::Granted {
+                share.record_granted(Time(now), units);
             }
-            return verdict == Verdict::Granted;
+            return verdict == QuotaDecision::Granted;
         }
         self.blind[node][organisation].admit(Time(now), quota, units, self.all.count())
     }
@@ -202,14 +203,14 @@
                 let quota = &QUOTAS[count.organisation.0 as usize - 1];
                 let born = self.lives[to] * 1_000_000 + now;
                 let hall = hall(from);
-                self.ledgers[to].heard(Time(now), address(from), &hall, &count, quota, born);
+                self.ledgers[to].merge_count(Time(now), address(from), &hall, &count, quota, born);
             }
         }
     }
 
-    fn listeners(&self, now: u64, node: usize, mark: OrganisationMark) -> Vec<usize> {
+    fn listeners(&self, now: u64, node: usize, mark: OrganisationHash) -> Vec<usize> {
         let mut all = self.all.of_each_hall(mark.0, OF_EACH_HALL);
-        all.extend(self.ledgers[node].others(Time(now), mark));
+        all.extend(self.ledgers[node].known_accountants(Time(now), mark));
         all.sort();
         all.dedup();
         all.into_iter().map(node_of).filter(|other| *other != node).collect()
@@ -237,7 +238,7 @@
         }
         self.tellings += 1;
         let all = self.tellings.is_multiple_of(3);
-        let quota_of = |mark: OrganisationMark| QUOTAS.get(mark.0 as usize - 1).copied();
+        let quota_of = |mark: OrganisationHash| QUOTAS.get(mark.0 as usize - 1).copied();
         for from in 0..fleet.nodes() {
             if !fleet.is_up(from) {
                 continue;
@@ -256,7 +257,7 @@
 
     fn restarted(&mut self, _now: u64, node: usize) {
         self.lives[node] += 1;
-        self.ledgers[node] = Ledger::new(&hall(node), SLACK);
+        self.ledgers[node] = QuotaLedger::new(&hall(node), SLACK);
         self.blind[node] = Default::default();
     }
 }
--- a/crates/portrack-bench/src/quotas/shares.rs
+++ b/crates/portrack-bench/src/quotas/shares.rs
@@ -4,7 +4,7 @@
 use crate::quotas::network::Fleet;
 use crate::quotas::{ORGANISATIONS, QUOTAS, Way};
 use portrack::Time;
-use portrack::gateway::Pace;
+use portrack::gateway::DecayingRate;
 
 /// A node's part of a quota.
 #[derive(Debug, Clone, Copy, Default)]
@@ -61,7 +61,7 @@
 /// A node's part follows its part of the demand, which nodes tell each other with heartbeats.
 pub struct DemandShares {
     parts: Vec<[Part; ORGANISATIONS]>,
-    own: Vec<[Pace; ORGANISATIONS]>,
+    own: Vec<[DecayingRate; ORGANISATIONS]>,
     /// What each node believes of each other one.
     told: Vec<Vec<[f64; ORGANISATIONS]>>,
     turn: usize,
--- a/crates/portrack/src/gateway/admission/blind.rs
+++ b/crates/portrack/src/gateway/admission/blind.rs
@@ -1,7 +1,7 @@
 //! What a daemon lets in by itself while no accountant answers.
 
 use super::organisations::Quota;
-use super::pace::Pace;
+use super::pace::DecayingRate;
 use crate::types::Time;
 
 /// The fleet's use of a quota is taken for no less than this when a daemon's part is worked out.
@@ -25,8 +25,8 @@
 /// is worked out from what an accountant told last: what a daemon lets in by itself must not make its
 /// part grow, or ten daemons let in a quarter more than the limit.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct BlindShare {
-    pace: Pace,
+pub struct FallbackShare {
+    pace: DecayingRate,
     /// What the fleet sends as a share of the limit, and what this daemon sent a second, when an
     /// accountant last told the former.
     used: Option<(f64, f64)>,
@@ -34,14 +34,14 @@
     level: Option<(f64, Time)>,
 }
 
-impl BlindShare {
+impl FallbackShare {
     /// Counts a request that an accountant let in.
-    pub fn granted(&mut self, now: Time, units: f64) {
+    pub fn record_granted(&mut self, now: Time, units: f64) {
         self.pace.count(now, units);
     }
 
     /// Takes in how much of the limit the fleet uses.
-    pub fn told(&mut self, now: Time, used: f64) {
+    pub fn update_usage(&mut self, now: Time, used: f64) {
         self.used = Some((used, self.pace.per_second(now)));
         self.refill(now, ANSWERED_REFILL);
     }
@@ -55,7 +55,7 @@
     }
 
     /// How much of the limit the fleet uses, as told last.
-    pub fn used(&self) -> Option<f64> {
+    pub fn fleet_usage(&self) -> Option<f64> {
         self.used.map(|(used, _)| used)
     }
 
--- a/crates/portrack/src/gateway/admission/credential.rs
+++ b/crates/portrack/src/gateway/admission/credential.rs
@@ -39,7 +39,7 @@
     #[default]
     Missing,
     /// Several keys.
-    Doubled,
+    Multiple,
     /// Something that is no key.
     Malformed,
     /// One key.
--- a/crates/portrack/src/gateway/admission/keys.rs
+++ b/crates/portrack/src/gateway/admission/keys.rs
@@ -2,7 +2,7 @@
 
 use super::credential::Credential;
 use super::organisations::{Organisation, RevokedKeys};
-use super::proof::StoreProof;
+use super::proof::FreshnessProof;
 use crate::gateway::fleet::config::{FleetConfig, Route};
 use crate::gateway::requests::caller::{RefusalReason, Refused};
 use crate::types::Time;
@@ -17,14 +17,14 @@
 
 /// How old proof of the configuration may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeyRules {
+pub struct KeyFreshnessRules {
     /// For a request that a key opens; any age if left out.
     pub keyed: Option<Duration>,
     /// For saying that a key or a route does not exist: it may be newer than the proof.
     pub unknown: Duration,
 }
 
-impl KeyRules {
+impl KeyFreshnessRules {
     /// The rules where a key must work nowhere `revoked_within` after it was taken away, and a
     /// configuration is in force `in_force_within`.
     pub fn new(revoked_within: Option<Duration>, in_force_within: Duration) -> Self {
@@ -33,13 +33,13 @@
     }
 
     /// True if a key may be believed in.
-    pub fn allow_keys(&self, now: Time, proof: &StoreProof) -> bool {
+    pub fn accepts_keys(&self, now: Time, proof: &FreshnessProof) -> bool {
         self.keyed.is_none_or(|bound| proof.is_within(now, bound))
     }
 
     /// A refusal of what is not in the configuration, if that is sure enough; else one that asks to
     /// come back.
-    pub fn unknown(&self, now: Time, proof: &StoreProof, reason: RefusalReason) -> Refused {
+    pub fn unknown(&self, now: Time, proof: &FreshnessProof, reason: RefusalReason) -> Refused {
         match proof.is_within(now, self.unknown) {
             true => Refused::new(reason, None),
             false => Refused::new(RefusalReason::NoProof, Some(PROOF_RETRY)),
@@ -49,7 +49,7 @@
 
 /// A request that the keys let in.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Admitted {
+pub struct AuthenticatedCaller {
     /// Whose key it showed.
     pub organisation: Option<Rc<Organisation>>,
     /// Keys are shown in this deployment.
@@ -57,27 +57,29 @@
 }
 
 /// The organisation of a request on a route, or why it is refused.
-pub fn organisation_of(
+pub fn authenticate(
     now: Time,
     config: &FleetConfig,
     route: &Route,
     shown: Credential,
     revoked: &RevokedKeys,
-    rules: &KeyRules,
-    proof: &StoreProof,
-) -> Result<Admitted, Refused> {
-    let Some(organisations) = &config.organisations else { return Ok(Admitted::default()) };
-    let believed = rules.allow_keys(now, proof);
+    rules: &KeyFreshnessRules,
+    proof: &FreshnessProof,
+) -> Result<AuthenticatedCaller, Refused> {
+    let Some(organisations) = &config.organisations else {
+        return Ok(AuthenticatedCaller::default());
+    };
+    let believed = rules.accepts_keys(now, proof);
     let holder = match shown {
-        Credential::Key(key) if believed => organisations.holder(&key).cloned(),
+        Credential::Key(key) if believed => organisations.by_key(&key).cloned(),
         _ => None,
     };
     if route.public || holder.is_some() {
-        return Ok(Admitted { organisation: holder, keyed: true });
+        return Ok(AuthenticatedCaller { organisation: holder, keyed: true });
     }
     match shown {
         Credential::Missing => Err(Refused::new(RefusalReason::MissingKey, None)),
-        Credential::Doubled => Err(Refused::new(RefusalReason::DoubledKey, None)),
+        Credential::Multiple => Err(Refused::new(RefusalReason::MultipleKeys, None)),
         Credential::Malformed => Err(Refused::new(RefusalReason::MalformedKey, None)),
         Credential::Key(_) if !believed => {
             Err(Refused::new(RefusalReason::NoProof, Some(PROOF_RETRY)))
--- a/crates/portrack/src/gateway/admission/ledger.rs
+++ b/crates/portrack/src/gateway/admission/ledger.rs
@@ -6,8 +6,8 @@
 //! becomes a debt that is paid back at once. One that falls silent is taken to go on with its part.
 
 use super::bucket::TokenBucket;
-use super::organisations::{OrganisationMark, Quota};
-use super::pace::Pace;
+use super::organisations::{OrganisationHash, Quota};
+use super::pace::DecayingRate;
 use super::quotas::QuotaCount;
 use crate::types::Time;
 use std::collections::{BTreeMap, HashMap};
@@ -36,7 +36,7 @@
 
 /// What an accountant says to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QuotaDecision {
     /// It is within the quota.
     Granted,
     /// It is beyond the quota; when there may be room again.
@@ -75,7 +75,7 @@
     used_at: Time,
     bucket: TokenBucket,
     admitted: f64,
-    pace: Pace,
+    pace: DecayingRate,
     others: HashMap<SocketAddr, Other>,
     /// What each daemon has given back to this account, with the daemon's incarnation.
     returned: HashMap<SocketAddr, (u64, f64)>,
@@ -94,7 +94,7 @@
             used_at: now,
             bucket: TokenBucket::new(now, quota),
             admitted: 0.0,
-            pace: Pace::default(),
+            pace: DecayingRate::default(),
             others: HashMap::new(),
             returned: HashMap::new(),
             held_back: BTreeMap::new(),
@@ -152,29 +152,29 @@
         silent.iter().map(|other| other.share).sum()
     }
 
-    fn ask(&mut self, now: Time, quota: &Quota, units: f64) -> Verdict {
+    fn ask(&mut self, now: Time, quota: &Quota, units: f64) -> QuotaDecision {
         self.asked_at = Some(now);
         self.used_at = now;
         if self.bucket.level() > 0.0 {
             self.bucket.take(units);
             self.admitted += units;
             self.pace.count(now, units);
-            return Verdict::Granted;
+            return QuotaDecision::Granted;
         }
         let span = |units: f64| Duration::from_secs_f64(units.max(0.0) / quota.per_second);
         let paid = now + span(-self.bucket.level());
         let latest = now + LONGEST_RETRY;
         self.promised_until = (self.promised_until.max(paid) + span(units)).min(latest);
-        Verdict::Refused(self.promised_until.since(now).max(Duration::from_millis(1)))
+        QuotaDecision::Refused(self.promised_until.since(now).max(Duration::from_millis(1)))
     }
 
-    fn give_back(&mut self, units: f64) {
+    fn refund(&mut self, units: f64) {
         self.bucket.take(-units);
         self.admitted -= units;
     }
 
     /// Takes in what another accountant tells.
-    fn heard(
+    fn merge_count(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -221,13 +221,13 @@
 
 /// The accounts of one daemon.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct QuotaLedger {
     hall: Rc<str>,
     slack: f64,
-    accounts: HashMap<OrganisationMark, Account>,
+    accounts: HashMap<OrganisationHash, Account>,
 }
 
-impl Ledger {
+impl QuotaLedger {
     /// A ledger without accounts, of a daemon in a hall, where users allow `slack` units beyond any
     /// quota.
     pub fn new(hall: &str, slack: f64) -> Self {
@@ -238,31 +238,31 @@
     pub fn ask(
         &mut self,
         now: Time,
-        mark: OrganisationMark,
+        mark: OrganisationHash,
         quota: &Quota,
         units: f64,
         born: u64,
-    ) -> Verdict {
+    ) -> QuotaDecision {
         let account = self.accounts.entry(mark).or_insert_with(|| Account::new(now, born, quota));
         account.refill(now, quota, self.slack, &self.hall);
         account.ask(now, quota, units)
     }
 
     /// Takes back the units of a request that has not run after all.
-    pub fn give_back(&mut self, mark: OrganisationMark, units: f64) {
+    pub fn refund(&mut self, mark: OrganisationHash, units: f64) {
         if let Some(account) = self.accounts.get_mut(&mark) {
-            account.give_back(units);
+            account.refund(units);
         }
     }
 
     /// Takes in what a daemon has given back in this life of it. The first it tells is where it
     /// begins: what was given back to an earlier account is not this one's. Told late or twice, it
     /// changes nothing.
-    pub fn returned(
+    pub fn merge_refunds(
         &mut self,
         from: SocketAddr,
         incarnation: u64,
-        mark: OrganisationMark,
+        mark: OrganisationHash,
         all: f64,
     ) {
         let Some(account) = self.accounts.get_mut(&mark) else { return };
@@ -272,13 +272,13 @@
         }
         account.returned.insert(from, (incarnation, all));
         if life == incarnation {
-            account.give_back(all - before);
+            account.refund(all - before);
         }
     }
 
     /// Takes in what another accountant tells of an organisation. Who stands by for another one of its
     /// hall learns in that way what the fleet sends.
-    pub fn heard(
+    pub fn merge_count(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -291,11 +291,11 @@
         let account = account.or_insert_with(|| Account::new(now, born, quota));
         account.used_at = now;
         account.refill(now, quota, self.slack, &self.hall);
-        account.heard(now, from, hall, count, &self.hall);
+        account.merge_count(now, from, hall, count, &self.hall);
     }
 
     /// What the whole fleet sends a second, as a share of what the quota allows.
-    pub fn use_of(&self, now: Time, mark: OrganisationMark, quota: &Quota) -> f64 {
+    pub fn usage(&self, now: Time, mark: OrganisationHash, quota: &Quota) -> f64 {
         let Some(account) = self.accounts.get(&mark) else { return 0.0 };
         let (heard, silent) = account.paces(now, &self.hall);
         (heard + silent) / quota.per_second
@@ -307,7 +307,7 @@
         &mut self,
         now: Time,
         all: bool,
-        quota_of: impl Fn(OrganisationMark) -> Option<Quota>,
+        quota_of: impl Fn(OrganisationHash) -> Option<Quota>,
     ) -> Vec<QuotaCount> {
         self.accounts.retain(|_, account| now.since(account.used_at) < CLOSED_AFTER);
         let mut counts = Vec::new();
@@ -333,7 +333,7 @@
     }
 
     /// Other daemons that count for an organisation, as heard lately.
-    pub fn others(&self, now: Time, mark: OrganisationMark) -> Vec<SocketAddr> {
+    pub fn known_accountants(&self, now: Time, mark: OrganisationHash) -> Vec<SocketAddr> {
         let Some(account) = self.accounts.get(&mark) else { return Vec::new() };
         let heard = account.others.iter();
         let heard = heard.filter(|(_, other)| now.since(other.heard_at) < HELD_BACK);
--- a/crates/portrack/src/gateway/admission/mod.rs
+++ b/crates/portrack/src/gateway/admission/mod.rs
@@ -15,17 +15,17 @@
 mod proof;
 mod quotas;
 
-pub use blind::BlindShare;
+pub use blind::FallbackShare;
 pub use bucket::TokenBucket;
 pub use credential::{Credential, KeyDigest};
-pub use keys::{Admitted, KeyRules, organisation_of};
-pub use ledger::{Ledger, Verdict};
+pub use keys::{AuthenticatedCaller, KeyFreshnessRules, authenticate};
+pub use ledger::{QuotaDecision, QuotaLedger};
 pub use organisations::{
-    Organisation, OrganisationMark, Organisations, Quota, QuotaUnit, RevokedKeys,
+    Organisation, OrganisationHash, Organisations, Quota, QuotaUnit, RevokedKeys,
 };
-pub use pace::Pace;
-pub use proof::StoreProof;
-pub(in crate::gateway) use quotas::TOLD_EVERY;
+pub use pace::DecayingRate;
+pub use proof::FreshnessProof;
+pub(in crate::gateway) use quotas::COUNTS_INTERVAL;
 pub use quotas::{
-    Charge, QuotaAnswer, QuotaAsk, QuotaCount, QuotaCounts, QuotaMessage, QuotaReturned, Quotas,
+    Charge, QuotaAnswer, QuotaCount, QuotaCounts, QuotaMessage, QuotaRefunds, QuotaRequest, Quotas,
 };
--- a/crates/portrack/src/gateway/admission/organisations.rs
+++ b/crates/portrack/src/gateway/admission/organisations.rs
@@ -11,9 +11,9 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
-pub struct OrganisationMark(pub u64);
+pub struct OrganisationHash(pub u64);
 
-impl OrganisationMark {
+impl OrganisationHash {
     /// The mark of a name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
@@ -35,8 +35,8 @@
 
 impl Organisation {
     /// Its short name.
-    pub fn mark(&self) -> OrganisationMark {
-        OrganisationMark::of(&self.name)
+    pub fn name_hash(&self) -> OrganisationHash {
+        OrganisationHash::of(&self.name)
     }
 }
 
@@ -83,30 +83,30 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Organisations {
     by_key: HashMap<KeyDigest, Rc<Organisation>>,
-    by_mark: HashMap<OrganisationMark, Rc<Organisation>>,
+    by_hash: HashMap<OrganisationHash, Rc<Organisation>>,
 }
 
 impl Organisations {
     /// Adds an organisation with its keys.
     pub fn add(&mut self, organisation: Organisation, keys: impl IntoIterator<Item = KeyDigest>) {
         let organisation = Rc::new(organisation);
-        self.by_mark.insert(organisation.mark(), organisation.clone());
+        self.by_hash.insert(organisation.name_hash(), organisation.clone());
         self.by_key.extend(keys.into_iter().map(|key| (key, organisation.clone())));
     }
 
     /// Whose key this is.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
+    pub fn by_key(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
         self.by_key.get(key)
     }
 
     /// An organisation by its short name.
-    pub fn by_mark(&self, mark: OrganisationMark) -> Option<&Rc<Organisation>> {
-        self.by_mark.get(&mark)
+    pub fn by_hash(&self, mark: OrganisationHash) -> Option<&Rc<Organisation>> {
+        self.by_hash.get(&mark)
     }
 
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.by_mark.len()
+        self.by_hash.len()
     }
 
     fn has(&self, key: &KeyDigest) -> bool {
@@ -124,7 +124,7 @@
 
 impl RevokedKeys {
     /// Takes note of what a new configuration lacks, and of what it brings back.
-    pub fn note(&mut self, before: Option<&Organisations>, after: Option<&Organisations>) {
+    pub fn update(&mut self, before: Option<&Organisations>, after: Option<&Organisations>) {
         if self.0.len() > REVOKED_KEPT {
             self.0.clear();
         }
--- a/crates/portrack/src/gateway/admission/pace.rs
+++ b/crates/portrack/src/gateway/admission/pace.rs
@@ -8,12 +8,12 @@
 
 /// Units a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Pace {
+pub struct DecayingRate {
     per_second: f64,
     at: Time,
 }
 
-impl Pace {
+impl DecayingRate {
     /// Counts units.
     pub fn count(&mut self, now: Time, units: f64) {
         self.per_second = self.per_second(now) + units / FADES_OVER.as_secs_f64();
--- a/crates/portrack/src/gateway/admission/proof.rs
+++ b/crates/portrack/src/gateway/admission/proof.rs
@@ -11,13 +11,13 @@
 /// daemon was frozen, makes the proof older and never younger. Nothing else moves it: not that a
 /// daemon was heard, and not the time at which news arrived.
 #[derive(Debug, Default)]
-pub struct StoreProof {
+pub struct FreshnessProof {
     /// In milliseconds on this daemon's clock, which may have begun later: a daemon that has just
     /// started learns of proof that is older than itself.
     sent_at: Cell<Option<i64>>,
 }
 
-impl StoreProof {
+impl FreshnessProof {
     /// Takes in proof of a moment; an older one than is held changes nothing.
     pub fn renew(&self, sent_at: Time) {
         self.renew_at(millis(sent_at));
@@ -28,13 +28,13 @@
     }
 
     /// Takes in the proof of another daemon, which had this `age` at some time after `asked_at`.
-    pub fn renew_from(&self, asked_at: Time, age: Duration) {
+    pub fn renew_from_peer(&self, asked_at: Time, age: Duration) {
         let age = i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
         self.renew_at(millis(asked_at).saturating_sub(age));
     }
 
     /// The moment, in milliseconds on this daemon's clock; it may be before the clock's start.
-    pub fn moment(&self) -> Option<i64> {
+    pub fn proven_at(&self) -> Option<i64> {
         self.sent_at.get()
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Its age for another daemon, in whole milliseconds, never less than it is.
-    pub fn age_to_tell(&self, now: Time) -> Option<u32> {
+    pub fn age_for_peer(&self, now: Time) -> Option<u32> {
         let age = self.age(now)?.as_millis().saturating_add(1);
         u32::try_from(age).ok()
     }
--- a/crates/portrack/src/gateway/admission/quotas.rs
+++ b/crates/portrack/src/gateway/admission/quotas.rs
@@ -1,8 +1,8 @@
 //! Asks accountants on behalf of requests, and answers daemons that ask this one.
 
-use super::blind::BlindShare;
-use super::ledger::{Ledger, Verdict};
-use super::organisations::{Organisation, OrganisationMark, Quota};
+use super::blind::FallbackShare;
+use super::ledger::{QuotaDecision, QuotaLedger};
+use super::organisations::{Organisation, OrganisationHash, Quota};
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons, UnresponsiveDaemons};
 use crate::gateway::fleet::incarnation::Incarnation;
 use crate::gateway::fleet::message::PeerMessage;
@@ -30,7 +30,7 @@
 /// When to come back if no accountant answers and this daemon's own part is used up.
 const BLIND_RETRY: Duration = Duration::from_millis(700);
 /// Between tellings of what is counted, for organisations near their limit.
-pub(in crate::gateway) const TOLD_EVERY: Duration = Duration::from_millis(100);
+pub(in crate::gateway) const COUNTS_INTERVAL: Duration = Duration::from_millis(100);
 /// The others are told of in every so many of these.
 const ALL_TOLD_EVERY: u64 = 3;
 /// Daemons of a hall that are told what others count: the one that is asked and the one that is
@@ -41,11 +41,11 @@
 
 /// Asks for a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Tells the answer's question.
     pub ask: u32,
     /// Whose request it is.
-    pub organisation: OrganisationMark,
+    pub organisation: OrganisationHash,
     /// What the request takes.
     pub units: f64,
 }
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaCount {
     /// The organisation.
-    pub organisation: OrganisationMark,
+    pub organisation: OrganisationHash,
     /// Differs with every account that the daemon opens for it.
     pub born: u64,
     /// For how long the account has been open, in milliseconds.
@@ -89,24 +89,24 @@
 
 /// What a daemon has given back to an accountant: units of requests that have not run after all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct QuotaReturned {
+pub struct QuotaRefunds {
     /// The daemon's incarnation.
     pub incarnation: u64,
     /// All units since it started, by organisation.
-    pub units: Vec<(OrganisationMark, f64)>,
+    pub units: Vec<(OrganisationHash, f64)>,
 }
 
 /// What daemons tell each other of quotas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum QuotaMessage {
     /// To an accountant.
-    Ask(QuotaAsk),
+    Ask(QuotaRequest),
     /// To the daemon that asked.
     Answer(QuotaAnswer),
     /// To the other accountants.
     Counts(QuotaCounts),
     /// To an accountant.
-    Returned(QuotaReturned),
+    Returned(QuotaRefunds),
 }
 
 /// The quotas as one daemon sees them.
@@ -117,15 +117,15 @@
     me: DaemonInfo,
     daemons: Rc<RefCell<Daemons>>,
     incarnation: Incarnation,
-    ledger: RefCell<Ledger>,
+    ledger: RefCell<QuotaLedger>,
     waiting: RefCell<HashMap<u32, oneshot::Sender<QuotaAnswer>>>,
     asked: Cell<u32>,
     tellings: Cell<u64>,
     shunned: UnresponsiveDaemons,
-    blind: RefCell<HashMap<OrganisationMark, BlindShare>>,
+    blind: RefCell<HashMap<OrganisationHash, FallbackShare>>,
     /// Given back so far, by the accountant that had let it in.
-    returned: RefCell<HashMap<SocketAddr, HashMap<OrganisationMark, f64>>>,
-    to_return: RefCell<Vec<(SocketAddr, OrganisationMark)>>,
+    returned: RefCell<HashMap<SocketAddr, HashMap<OrganisationHash, f64>>>,
+    to_return: RefCell<Vec<(SocketAddr, OrganisationHash)>>,
 }
 
 impl Quotas {
@@ -140,7 +140,7 @@
         incarnation: Incarnation,
         slack: f64,
     ) -> Self {
-        let ledger = Ledger::new(&me.hall, slack);
+        let ledger = QuotaLedger::new(&me.hall, slack);
         Self {
             clock,
             view,
@@ -159,9 +159,9 @@
         }
     }
 
-    fn quota(&self, mark: OrganisationMark) -> Option<Quota> {
+    fn quota(&self, mark: OrganisationHash) -> Option<Quota> {
         let view = self.view.borrow();
-        view.config()?.organisations.as_ref()?.by_mark(mark)?.quota
+        view.config()?.organisations.as_ref()?.by_hash(mark)?.quota
     }
 
     /// Lets a request in if its organisation's quota allows it.
@@ -171,7 +171,7 @@
         tokens: Option<u64>,
     ) -> Result<Charge, Refused> {
         let Some(quota) = organisation.quota else { return Ok(Charge::free()) };
-        let mark = organisation.mark();
+        let mark = organisation.name_hash();
         let units = quota.units(tokens);
         for _ in 0..TRIES {
             let Some(accountant) = self.accountant(mark) else { break };
@@ -191,12 +191,12 @@
     }
 
     /// What the fleet sends of an organisation, in percent of its limit, as told last; -1 if never.
-    pub fn used_percent(&self, mark: OrganisationMark) -> i64 {
-        let used = self.blind.borrow().get(&mark).and_then(BlindShare::used);
+    pub fn used_percent(&self, mark: OrganisationHash) -> i64 {
+        let used = self.blind.borrow().get(&mark).and_then(FallbackShare::fleet_usage);
         used.map_or(-1, |used| (used * 100.0).round() as i64)
     }
 
-    fn accountant(&self, mark: OrganisationMark) -> Option<SocketAddr> {
+    fn accountant(&self, mark: OrganisationHash) -> Option<SocketAddr> {
         let now = self.clock.now();
         // Others are told nothing by the accountants of other halls. A node that was cut off from
         // everybody came to itself in the end, and gave out the whole limit on its own.
@@ -208,13 +208,13 @@
     async fn ask(
         &self,
         accountant: SocketAddr,
-        mark: OrganisationMark,
+        mark: OrganisationHash,
         quota: &Quota,
         units: f64,
     ) -> Option<QuotaAnswer> {
         let ask = self.asked.get().wrapping_add(1);
         self.asked.set(ask);
-        let question = QuotaAsk { ask, organisation: mark, units };
+        let question = QuotaRequest { ask, organisation: mark, units };
         if accountant == self.me.address {
             return Some(self.decide(&question, quota));
         }
@@ -229,34 +229,36 @@
     fn answered(
         self: &Rc<Self>,
         accountant: SocketAddr,
-        mark: OrganisationMark,
+        mark: OrganisationHash,
         units: f64,
         answer: &QuotaAnswer,
     ) -> Result<Charge, Refused> {
         let mut blind = self.blind.borrow_mut();
         let share = blind.entry(mark).or_default();
-        share.told(self.clock.now(), f64::from(answer.used_percent) / 100.0);
+        share.update_usage(self.clock.now(), f64::from(answer.used_percent) / 100.0);
         if let Some(millis) = answer.refused_ms {
             let after = Duration::from_millis(millis.into());
             return Err(Refused::new(RefusalReason::Quota, Some(after)));
         }
-        share.granted(self.clock.now(), units);
+        share.record_granted(self.clock.now(), units);
         let taken = Taken { quotas: self.clone(), accountant, mark, units };
         Ok(Charge { taken: Some(taken), may_have_run: false })
     }
 
     /// This daemon's own decision as an accountant.
-    fn decide(&self, question: &QuotaAsk, quota: &Quota) -> QuotaAnswer {
+    fn decide(&self, question: &QuotaRequest, quota: &Quota) -> QuotaAnswer {
         let now = self.clock.now();
         let (mark, units) = (question.organisation, question.units);
         let mut ledger = self.ledger.borrow_mut();
         let verdict = ledger.ask(now, mark, quota, units, self.incarnation.number() + now.0);
-        let used = ledger.use_of(now, mark, quota) * 100.0;
+        let used = ledger.usage(now, mark, quota) * 100.0;
         QuotaAnswer {
             ask: question.ask,
             refused_ms: match verdict {
-                Verdict::Granted => None,
-                Verdict::Refused(after) => Some(after.as_millis().try_into().unwrap_or(u32::MAX)),
+                QuotaDecision::Granted => None,
+                QuotaDecision::Refused(after) => {
+                    Some(after.as_millis().try_into().unwrap_or(u32::MAX))
+                }
             },
             used_percent: used as u16,
         }
@@ -283,20 +285,20 @@
                 for count in &told.counts {
                     let Some(quota) = self.quota(count.organisation) else { continue };
                     let born = self.incarnation.number() + now.0;
-                    self.ledger.borrow_mut().heard(now, from, &hall, count, &quota, born);
+                    self.ledger.borrow_mut().merge_count(now, from, &hall, count, &quota, born);
                 }
             }
             QuotaMessage::Returned(returned) => {
                 let mut ledger = self.ledger.borrow_mut();
                 for (mark, all) in returned.units {
-                    ledger.returned(from, returned.incarnation, mark, all);
+                    ledger.merge_refunds(from, returned.incarnation, mark, all);
                 }
             }
         }
     }
 
     /// Tells the other accountants what this one has counted, and accountants what was given back.
-    pub fn tell(&self) {
+    pub fn send_counts(&self) {
         self.tell_returned();
         let now = self.clock.now();
         let telling = self.tellings.get();
@@ -318,9 +320,9 @@
         }
     }
 
-    fn listeners(&self, now: Time, mark: OrganisationMark) -> Vec<SocketAddr> {
+    fn listeners(&self, now: Time, mark: OrganisationHash) -> Vec<SocketAddr> {
         let mut listeners = self.daemons.borrow().of_each_hall(mark.0, OF_EACH_HALL);
-        listeners.extend(self.ledger.borrow().others(now, mark));
+        listeners.extend(self.ledger.borrow().known_accountants(now, mark));
         listeners.sort();
         listeners.dedup();
         listeners.retain(|address| *address != self.me.address);
@@ -328,7 +330,7 @@
     }
 
     fn tell_returned(&self) {
-        let mut by_accountant: HashMap<SocketAddr, Vec<(OrganisationMark, f64)>> = HashMap::new();
+        let mut by_accountant: HashMap<SocketAddr, Vec<(OrganisationHash, f64)>> = HashMap::new();
         let returned = self.returned.borrow();
         for (accountant, mark) in self.to_return.take() {
             let all = returned.get(&accountant).and_then(|marks| marks.get(&mark)).copied();
@@ -340,15 +342,15 @@
         for (accountant, told) in by_accountant {
             for chunk in told.chunks(COUNTS_CHUNK) {
                 let (incarnation, units) = (self.incarnation.number(), chunk.to_vec());
-                let returned = QuotaMessage::Returned(QuotaReturned { incarnation, units });
+                let returned = QuotaMessage::Returned(QuotaRefunds { incarnation, units });
                 self.messenger.send(&PeerMessage::Quota(returned), accountant);
             }
         }
     }
 
-    fn give_back(&self, accountant: SocketAddr, mark: OrganisationMark, units: f64) {
+    fn refund(&self, accountant: SocketAddr, mark: OrganisationHash, units: f64) {
         if accountant == self.me.address {
-            self.ledger.borrow_mut().give_back(mark, units);
+            self.ledger.borrow_mut().refund(mark, units);
             return;
         }
         let mut returned = self.returned.borrow_mut();
@@ -366,7 +368,7 @@
 struct Taken {
     quotas: Rc<Quotas>,
     accountant: SocketAddr,
-    mark: OrganisationMark,
+    mark: OrganisationHash,
     units: f64,
 }
 
@@ -391,7 +393,7 @@
     fn drop(&mut self) {
         let taken = self.taken.take().filter(|_| !self.may_have_run);
         if let Some(Taken { quotas, accountant, mark, units }) = taken {
-            quotas.give_back(accountant, mark, units);
+            quotas.refund(accountant, mark, units);
         }
     }
 }
--- a/crates/portrack/src/gateway/arrivals/fairness.rs
+++ b/crates/portrack/src/gateway/arrivals/fairness.rs
@@ -1,13 +1,13 @@
 //! Shares of organisations where too many wait.
 
-use crate::gateway::admission::OrganisationMark;
+use crate::gateway::admission::OrganisationHash;
 use std::collections::{BTreeMap, HashMap};
 
 /// The place of the waiting request that has to go: the last of the organisation that has most of them,
 /// by the order given with each; the newest, which comes last, if none has several. Requests of nobody
 /// known are no organisation's: together they would always have most.
-pub fn choose_evicted<K: Ord>(waiting: &[(Option<OrganisationMark>, K)]) -> usize {
-    let mut counts: BTreeMap<OrganisationMark, usize> = BTreeMap::new();
+pub fn choose_evicted<K: Ord>(waiting: &[(Option<OrganisationHash>, K)]) -> usize {
+    let mut counts: BTreeMap<OrganisationHash, usize> = BTreeMap::new();
     for mark in waiting.iter().filter_map(|(mark, _)| *mark) {
         *counts.entry(mark).or_default() += 1;
     }
@@ -26,12 +26,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct FairShares {
     done: f64,
-    ends: HashMap<OrganisationMark, f64>,
+    ends: HashMap<OrganisationHash, f64>,
 }
 
 impl FairShares {
     /// Where a request of so much work begins.
-    pub fn begin(&mut self, organisation: Option<OrganisationMark>, work: f64) -> f64 {
+    pub fn begin(&mut self, organisation: Option<OrganisationHash>, work: f64) -> f64 {
         let Some(organisation) = organisation else { return self.done };
         let done = self.done;
         self.ends.retain(|_, end| *end > done);
@@ -47,7 +47,7 @@
     }
 
     /// A request is given up that had not had its turn.
-    pub fn give_up(&mut self, organisation: Option<OrganisationMark>, work: f64) {
+    pub fn give_up(&mut self, organisation: Option<OrganisationHash>, work: f64) {
         if let Some(end) = organisation.and_then(|mark| self.ends.get_mut(&mark)) {
             *end -= work;
         }
--- a/crates/portrack/src/gateway/arrivals/granter.rs
+++ b/crates/portrack/src/gateway/arrivals/granter.rs
@@ -7,7 +7,7 @@
 use super::pace::{PrefillRate, reading_time};
 use super::promises::RetryScheduler;
 use super::reading::{PrefillLimit, PrefillWindow};
-use crate::gateway::admission::OrganisationMark;
+use crate::gateway::admission::OrganisationHash;
 use crate::gateway::backpressure::bucket::{LimitRule, RateBucket};
 use crate::types::Time;
 use std::collections::HashMap;
@@ -206,7 +206,7 @@
     fn deal_beginnings(&mut self, now: Time) {
         let mut order: Vec<usize> = (0..self.waiting.len()).collect();
         order.sort_by_cached_key(|place| self.waiting[*place].order(now));
-        let mut begins: HashMap<Option<OrganisationMark>, Vec<f64>> = HashMap::new();
+        let mut begins: HashMap<Option<OrganisationHash>, Vec<f64>> = HashMap::new();
         for waiting in &self.waiting {
             begins.entry(waiting.ask.organisation).or_default().push(waiting.begins);
         }
--- a/crates/portrack/src/gateway/arrivals/grants.rs
+++ b/crates/portrack/src/gateway/arrivals/grants.rs
@@ -7,7 +7,7 @@
 use super::pace::PrefillRate;
 use super::quantile::Quantile;
 use super::share::FallbackShares;
-use crate::gateway::admission::{OrganisationMark, StoreProof};
+use crate::gateway::admission::{FreshnessProof, OrganisationHash};
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::backpressure::tracker::Backpressure;
 use crate::gateway::fleet::backend::Backend;
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub struct GrantNeed {
     /// Whose request it is, if callers show keys.
-    pub organisation: Option<OrganisationMark>,
+    pub organisation: Option<OrganisationHash>,
     /// Tokens of its prompt.
     pub tokens: u32,
     /// Its rank, 0 highest.
@@ -81,7 +81,7 @@
     /// What is known of the fleet.
     pub view: Rc<RefCell<FleetView>>,
     /// How fresh that is.
-    pub proof: Rc<StoreProof>,
+    pub proof: Rc<FreshnessProof>,
     /// Which servers may be cold.
     pub coldness: Rc<RefCell<ColdStartTracker>>,
     /// Load of the servers.
@@ -122,7 +122,7 @@
 pub struct Grants {
     pub(super) clock: Rc<dyn Clock>,
     pub(super) view: Rc<RefCell<FleetView>>,
-    pub(super) proof: Rc<StoreProof>,
+    pub(super) proof: Rc<FreshnessProof>,
     pub(super) coldness: Rc<RefCell<ColdStartTracker>>,
     loads: Rc<LoadTable>,
     pub(super) backpressure: Rc<Backpressure>,
--- a/crates/portrack/src/gateway/arrivals/message.rs
+++ b/crates/portrack/src/gateway/arrivals/message.rs
@@ -1,7 +1,7 @@
 //! What daemons tell each other of grants.
 
 use super::asks::CallId;
-use crate::gateway::admission::OrganisationMark;
+use crate::gateway::admission::OrganisationHash;
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::fleet::trailing_field::or_default;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
     /// The server, by its mark.
     pub server: u32,
     /// Whose request it is, if callers show keys.
-    pub organisation: Option<OrganisationMark>,
+    pub organisation: Option<OrganisationHash>,
     /// Tokens of its prompt; 0 where servers read none.
     pub tokens: u32,
     /// Its rank, 0 highest.
--- a/crates/portrack/src/gateway/backpressure/tracker.rs
+++ b/crates/portrack/src/gateway/backpressure/tracker.rs
@@ -8,7 +8,7 @@
 use super::limit_state::LimitObservation;
 use super::limit_table::{LimitChange, LimitTable};
 use super::message::{LimitReport, REPORTS};
-use crate::gateway::dialect::AnswerMeta;
+use crate::gateway::dialect::ResponseMeta;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
 use crate::gateway::fleet::message::PeerMessage;
@@ -117,13 +117,13 @@
     }
 
     /// Takes in an answer to a request that was sent at `asked_at`.
-    pub fn on_response(&self, backend: &Backend, asked_at: Time, status: u16, meta: &AnswerMeta) {
+    pub fn on_response(&self, backend: &Backend, asked_at: Time, status: u16, meta: &ResponseMeta) {
         let may_widen = status != NOT_MEANT;
         self.hear_limit(backend, may_widen.then_some(asked_at), meta);
         self.hear_rest(backend, asked_at, status, meta);
     }
 
-    fn hear_rest(&self, backend: &Backend, asked_at: Time, status: u16, meta: &AnswerMeta) {
+    fn hear_rest(&self, backend: &Backend, asked_at: Time, status: u16, meta: &ResponseMeta) {
         let (now, server) = (self.parts.clock.now(), backend.incarnation_hash());
         let turned_away = TURNED_AWAY.contains(&status);
         let rest = meta.rest.get().filter(|rest| turned_away && !rest.is_zero());
@@ -172,13 +172,13 @@
 
     /// Takes in an answer to an order or to a question for a report: a limit that it names holds, one that it does not name is
     /// not over.
-    pub fn on_order_response(&self, backend: &Backend, meta: &AnswerMeta) {
+    pub fn on_order_response(&self, backend: &Backend, meta: &ResponseMeta) {
         self.hear_limit(backend, None, meta);
     }
 
     /// Takes in what an answer says of its server's limit. Without the time at which it was asked for it may only narrow what is
     /// believed.
-    fn hear_limit(&self, backend: &Backend, asked_at: Option<Time>, meta: &AnswerMeta) {
+    fn hear_limit(&self, backend: &Backend, asked_at: Option<Time>, meta: &ResponseMeta) {
         let limit = match meta.limit {
             LimitHint::Value(limit) => Some(limit),
             LimitHint::Absent if asked_at.is_none() => return,
--- a/crates/portrack/src/gateway/cold/server.rs
+++ b/crates/portrack/src/gateway/cold/server.rs
@@ -36,11 +36,11 @@
 impl GatewayDaemon {
     /// Takes in anew which servers have to be taken for cold.
     pub(in crate::gateway) fn look_at_cold(&self, now: Time) {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let cold = view.backends().filter_map(|backend| {
             Some((backend.id.clone(), self.cold_server(now, &view, backend)?))
         });
-        self.path.loads.set_cold(cold.collect());
+        self.handler.loads.set_cold(cold.collect());
     }
 
     /// A server as a cold one, if it has to be taken for that.
@@ -51,7 +51,7 @@
         backend: &Backend,
     ) -> Option<ColdServer> {
         let start = view.service(&backend.service)?.cold.as_ref()?;
-        let until = self.path.coldness.borrow().cold_until(now, &backend.id, start);
+        let until = self.handler.coldness.borrow().cold_until(now, &backend.id, start);
         (now < until).then(|| ColdServer::new(until, backend.slots, start.per_second))
     }
 }
--- a/crates/portrack/src/gateway/connections/body.rs
+++ b/crates/portrack/src/gateway/connections/body.rs
@@ -1,6 +1,6 @@
 //! The body of an answer, part by part, whatever its framing.
 
-use super::answer::{AnswerError, Framing};
+use super::response::{Framing, ResponseError};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest line that begins a chunk.
@@ -8,7 +8,7 @@
 
 /// What a step of reading gives.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum DecodeStep {
     /// Bytes of the body.
     Part(Bytes),
     /// The body is whole.
@@ -52,43 +52,43 @@
     }
 
     /// Takes the next part off the buffer.
-    pub fn step(&mut self, buffer: &mut BytesMut) -> Result<Step, AnswerError> {
+    pub fn step(&mut self, buffer: &mut BytesMut) -> Result<DecodeStep, ResponseError> {
         loop {
             match self.state {
-                State::Done => return Ok(Step::End),
+                State::Done => return Ok(DecodeStep::End),
                 State::Length(left) => {
-                    let Some(part) = take(buffer, left) else { return Ok(Step::More) };
+                    let Some(part) = take(buffer, left) else { return Ok(DecodeStep::More) };
                     let left = left - part.len() as u64;
                     self.state = if left == 0 { State::Done } else { State::Length(left) };
-                    return Ok(Step::Part(part));
+                    return Ok(DecodeStep::Part(part));
                 }
                 State::UntilClose => {
                     let part = take(buffer, u64::MAX);
-                    return Ok(part.map_or(Step::More, Step::Part));
+                    return Ok(part.map_or(DecodeStep::More, DecodeStep::Part));
                 }
                 State::ChunkLine => {
-                    let Some(size) = chunk_size(buffer)? else { return Ok(Step::More) };
+                    let Some(size) = chunk_size(buffer)? else { return Ok(DecodeStep::More) };
                     self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
                 }
                 State::Chunk(left) => {
-                    let Some(part) = take(buffer, left) else { return Ok(Step::More) };
+                    let Some(part) = take(buffer, left) else { return Ok(DecodeStep::More) };
                     let left = left - part.len() as u64;
                     self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
-                    return Ok(Step::Part(part));
+                    return Ok(DecodeStep::Part(part));
                 }
                 State::ChunkEnd => {
                     if buffer.len() < 2 {
-                        return Ok(Step::More);
+                        return Ok(DecodeStep::More);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err(AnswerError { why: "a chunk without its end".into() });
+                        return Err(ResponseError { why: "a chunk without its end".into() });
                     }
                     buffer.advance(2);
                     self.state = State::ChunkLine;
                 }
                 State::Trailer => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        return Ok(Step::More);
+                        return Ok(DecodeStep::More);
                     };
                     buffer.advance(end + 2);
                     if end == 0 {
@@ -108,8 +108,8 @@
     Some(buffer.split_to(length).freeze())
 }
 
-fn chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, AnswerError> {
-    let bad = || AnswerError { why: "a bad chunk".into() };
+fn chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, ResponseError> {
+    let bad = || ResponseError { why: "a bad chunk".into() };
     match httparse::parse_chunk_size(buffer).map_err(|_| bad())? {
         httparse::Status::Complete((length, size)) => {
             buffer.advance(length);
--- a/crates/portrack/src/gateway/connections/connection.rs
+++ b/crates/portrack/src/gateway/connections/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a backend server.
 
-use super::answer::{AnswerError, AnswerHead, take_head};
-use super::body::{BodyDecoder, Step};
+use super::body::{BodyDecoder, DecodeStep};
+use super::response::{ResponseError, ResponseHead, parse_head};
 use crate::gateway::dialect::Dialect;
 use crate::types::{BootClock, Clock, Time};
 use bytes::{Bytes, BytesMut};
@@ -40,9 +40,9 @@
     },
     /// The server sent bytes that are no answer.
     #[snafu(display("{source}"))]
-    Garbled {
+    Malformed {
         /// What is wrong with them.
-        source: AnswerError,
+        source: ResponseError,
     },
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// True if it can carry another request: open, silent, and not idle for too long.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         if !self.buffer.is_empty() || BootClock.now().since(self.idle_since) >= self.idle_for {
             return false;
         }
@@ -98,7 +98,7 @@
     }
 
     /// Notes that an answer is over and the connection is idle from now on.
-    pub fn rest(&mut self, keep_alive: Option<Duration>) {
+    pub fn mark_idle(&mut self, keep_alive: Option<Duration>) {
         self.idle_since = BootClock.now();
         self.buffer = BytesMut::new();
         if let Some(named) = keep_alive {
@@ -107,7 +107,7 @@
     }
 
     /// Notes that the answer to what was sent is whole.
-    pub fn answered(&mut self) {
+    pub fn response_complete(&mut self) {
         self.unanswered = false;
     }
 
@@ -143,10 +143,13 @@
     }
 
     /// Reads the next head that is not merely informational.
-    pub async fn head(&mut self, dialect: &dyn Dialect) -> Result<AnswerHead, ExchangeError> {
+    pub async fn read_head(
+        &mut self,
+        dialect: &dyn Dialect,
+    ) -> Result<ResponseHead, ExchangeError> {
         loop {
-            let taken = take_head(dialect, &mut self.buffer);
-            let head = taken.map_err(|source| ExchangeError::Garbled { source })?;
+            let taken = parse_head(dialect, &mut self.buffer);
+            let head = taken.map_err(|source| ExchangeError::Malformed { source })?;
             match head {
                 Some(head) if head.status.is_informational() => continue,
                 Some(head) => return Ok(head),
@@ -159,19 +162,22 @@
     }
 
     /// Reads the next part of a body; `None` at its end.
-    pub async fn part(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>, ExchangeError> {
+    pub async fn read_chunk(
+        &mut self,
+        body: &mut BodyDecoder,
+    ) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             let step = body.step(&mut self.buffer);
-            match step.map_err(|source| ExchangeError::Garbled { source })? {
-                Step::Part(part) => return Ok(Some(part)),
-                Step::End => return Ok(None),
-                Step::More if self.fill().await? == 0 => {
+            match step.map_err(|source| ExchangeError::Malformed { source })? {
+                DecodeStep::Part(part) => return Ok(Some(part)),
+                DecodeStep::End => return Ok(None),
+                DecodeStep::More if self.fill().await? == 0 => {
                     return match body.ends_with_connection() {
                         true => Ok(None),
                         false => Err(ExchangeError::Lost { why: "body broken off".into() }),
                     };
                 }
-                Step::More => {}
+                DecodeStep::More => {}
             }
         }
     }
--- a/crates/portrack/src/gateway/connections/mod.rs
+++ b/crates/portrack/src/gateway/connections/mod.rs
@@ -3,7 +3,7 @@
 //! In come bytes; out go answers, or what is known of a request without one. A connection with bytes left
 //! over is never used again.
 
-pub(in crate::gateway) mod answer;
 pub(in crate::gateway) mod body;
 pub(in crate::gateway) mod connection;
 pub(in crate::gateway) mod pool;
+pub(in crate::gateway) mod response;
--- a/crates/portrack/src/gateway/connections/pool.rs
+++ b/crates/portrack/src/gateway/connections/pool.rs
@@ -19,27 +19,27 @@
 
 /// Pools by the server's id.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     servers: RefCell<HashMap<Rc<str>, ServerPool>>,
 }
 
 /// A connection in use; gives its place back when dropped.
 #[derive(Debug)]
-pub struct Lent {
-    pool: Rc<Pool>,
+pub struct PooledConnection {
+    pool: Rc<ConnectionPool>,
     server: Rc<str>,
     forgotten: u32,
     connection: Option<Connection>,
 }
 
-impl Lent {
+impl PooledConnection {
     /// The connection.
     pub fn connection(&mut self) -> &mut Connection {
         self.connection.as_mut().expect("lent until it is kept")
     }
 
     /// Puts the connection back for another request.
-    pub fn keep(mut self) {
+    pub fn release(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let mut servers = self.pool.servers.borrow_mut();
         let Some(server) = servers.get_mut(&self.server) else { return };
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Lent {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         if self.connection.is_none() {
             return;
@@ -64,43 +64,48 @@
 
 /// Why no connection was lent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LendError {
+pub enum AcquireError {
     /// This daemon's share of the server's connections is in use.
     Full,
     /// The server could not be reached.
     Unreachable(ExchangeError),
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Lends a connection: a clean idle one, or a new one if fewer than `most` are open.
-    pub async fn lend(
+    pub async fn acquire(
         self: &Rc<Self>,
         server: &Rc<str>,
         address: SocketAddr,
         most: usize,
-    ) -> Result<Lent, LendError> {
+    ) -> Result<PooledConnection, AcquireError> {
         if let Some(connection) = self.clean(server) {
             return Ok(self.lent(server, connection));
         }
         if !self.take_place(server, most) {
-            return Err(LendError::Full);
+            return Err(AcquireError::Full);
         }
         let place = Place { pool: self, server, kept: false };
-        let opened = Connection::open(address).await.map_err(LendError::Unreachable)?;
+        let opened = Connection::open(address).await.map_err(AcquireError::Unreachable)?;
         place.keep();
         Ok(self.lent(server, opened))
     }
 
-    fn lent(self: &Rc<Self>, server: &Rc<str>, connection: Connection) -> Lent {
+    fn lent(self: &Rc<Self>, server: &Rc<str>, connection: Connection) -> PooledConnection {
         let forgotten = self.servers.borrow().get(server).map_or(0, |pool| pool.forgotten);
-        Lent { pool: self.clone(), server: server.clone(), forgotten, connection: Some(connection) }
+        PooledConnection {
+            pool: self.clone(),
+            server: server.clone(),
+            forgotten,
+            connection: Some(connection),
+        }
     }
 
     fn clean(&self, server: &Rc<str>) -> Option<Connection> {
         let mut servers = self.servers.borrow_mut();
         let server = servers.get_mut(server)?;
         while let Some(connection) = server.idle.pop() {
-            if connection.is_clean() {
+            if connection.is_reusable() {
                 return Some(connection);
             }
             server.open = server.open.saturating_sub(1);
@@ -119,11 +124,11 @@
     }
 
     /// Closes idle connections that can no longer be used.
-    pub fn sweep(&self) {
+    pub fn close_unusable(&self) {
         let mut servers = self.servers.borrow_mut();
         for server in servers.values_mut() {
             let before = server.idle.len();
-            server.idle.retain(Connection::is_clean);
+            server.idle.retain(Connection::is_reusable);
             server.open = server.open.saturating_sub(before - server.idle.len());
         }
         servers.retain(|_, server| server.open > 0);
@@ -131,7 +136,7 @@
 
     /// Closes the idle connections to a server that is gone or has started again; those that are lent
     /// are closed when they come back.
-    pub fn forget(&self, server: &str) {
+    pub fn close_server(&self, server: &str) {
         let mut servers = self.servers.borrow_mut();
         let Some(pool) = servers.get_mut(server) else { return };
         let idle = pool.idle.len();
@@ -143,7 +148,7 @@
 
 /// A place taken for a connection that is coming up; given back unless kept.
 struct Place<'a> {
-    pool: &'a Pool,
+    pool: &'a ConnectionPool,
     server: &'a Rc<str>,
     kept: bool,
 }
--- a/crates/portrack/src/gateway/connections/answer.rs
+++ b/crates/portrack/src/gateway/connections/response.rs
@@ -1,6 +1,6 @@
 //! The head of a server's answer.
 
-use crate::gateway::dialect::{AnswerMeta, Dialect};
+use crate::gateway::dialect::{Dialect, ResponseMeta};
 use actix_http::StatusCode;
 use actix_http::header::{HeaderName, HeaderValue};
 use bytes::{Buf, BytesMut};
@@ -25,7 +25,7 @@
 
 /// The head of an answer.
 #[derive(Debug, Clone)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
     /// The headers to hand on: all but those of one connection.
@@ -37,26 +37,26 @@
     /// The server closes the connection when it has been idle for this long.
     pub keep_alive: Option<Duration>,
     /// What it says of the request.
-    pub meta: AnswerMeta,
+    pub meta: ResponseMeta,
 }
 
 /// Bytes that are no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("not an answer: {why}"))]
-pub struct AnswerError {
+pub struct ResponseError {
     /// What is wrong.
     pub why: String,
 }
 
-fn wrong(why: impl Into<String>) -> AnswerError {
-    AnswerError { why: why.into() }
+fn wrong(why: impl Into<String>) -> ResponseError {
+    ResponseError { why: why.into() }
 }
 
 /// Takes a whole head off the front of `buffer`; `None` while it is not whole yet.
-pub fn take_head(
+pub fn parse_head(
     dialect: &dyn Dialect,
     buffer: &mut BytesMut,
-) -> Result<Option<AnswerHead>, AnswerError> {
+) -> Result<Option<ResponseHead>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let parsed = response.parse(buffer).map_err(|error| wrong(error.to_string()))?;
@@ -71,13 +71,13 @@
     let http_10 = response.version == Some(0);
     let mut reading = Reading { close: http_10, ..Reading::default() };
     let mut head_headers = Vec::with_capacity(response.headers.len());
-    let mut meta = AnswerMeta::default();
+    let mut meta = ResponseMeta::default();
     for header in response.headers.iter() {
         let text = std::str::from_utf8(header.value).unwrap_or_default();
         if reading.connection_header(header.name, text)? {
             continue;
         }
-        dialect.answer_header(header.name, text, &mut meta);
+        dialect.response_header(header.name, text, &mut meta);
         let name = HeaderName::from_bytes(header.name.as_bytes());
         let value = HeaderValue::from_bytes(header.value);
         if let (Ok(name), Ok(value)) = (name, value) {
@@ -88,7 +88,7 @@
     buffer.advance(length);
     let close = reading.close || framing == Framing::UntilClose;
     let keep_alive = reading.keep_alive;
-    Ok(Some(AnswerHead { status, headers: head_headers, framing, close, keep_alive, meta }))
+    Ok(Some(ResponseHead { status, headers: head_headers, framing, close, keep_alive, meta }))
 }
 
 #[derive(Default)]
@@ -101,7 +101,7 @@
 
 impl Reading {
     /// Takes a header of the connection in; true if it is one.
-    fn connection_header(&mut self, name: &str, value: &str) -> Result<bool, AnswerError> {
+    fn connection_header(&mut self, name: &str, value: &str) -> Result<bool, ResponseError> {
         if name.eq_ignore_ascii_case("content-length") {
             let length = value.trim().parse().map_err(|_| wrong("bad length"))?;
             if self.length.is_some_and(|before| before != length) {
--- a/crates/portrack/src/gateway/daemon.rs
+++ b/crates/portrack/src/gateway/daemon.rs
@@ -1,13 +1,13 @@
 //! One gateway daemon: the parts that its tasks share.
 
-use crate::gateway::admission::{KeyRules, Quotas, StoreProof};
+use crate::gateway::admission::{FreshnessProof, KeyFreshnessRules, Quotas};
 use crate::gateway::arrivals::{GrantDeps, GrantMetrics, Grants};
 use crate::gateway::backpressure::leaving::{LeavingDeps, LeavingServers};
 use crate::gateway::backpressure::tracker::{Backpressure, BackpressureDeps, BackpressureMetrics};
-use crate::gateway::connections::answer::AnswerHead;
-use crate::gateway::connections::pool::Pool;
+use crate::gateway::connections::pool::ConnectionPool;
+use crate::gateway::connections::response::ResponseHead;
 use crate::gateway::dialect::Dialect;
-use crate::gateway::dispatch::{SlotParts, Slots};
+use crate::gateway::dispatch::{SlotDeps, SlotService};
 use crate::gateway::fleet::cold_start_tracker::{EntrySource, SOURCE_REPORT};
 use crate::gateway::fleet::daemons::Daemons;
 use crate::gateway::fleet::incarnation::Incarnation;
@@ -23,8 +23,8 @@
 use crate::gateway::quarantine::coordinator::{Quarantine, QuarantineDeps, QuarantineMetrics};
 use crate::gateway::regions::locality::Locality;
 use crate::gateway::regions::traffic::RegionTraffic;
-use crate::gateway::requests::path::RequestPath;
-use crate::gateway::requests::retries::{RetryBounds, ServiceRetries};
+use crate::gateway::requests::handler::RequestHandler;
+use crate::gateway::requests::retries::{RetryBounds, RetryBudgets};
 use crate::gateway::selection::demand::AdapterDemandTracker;
 use crate::gateway::selection::load::LoadTable;
 use crate::gateway::settings::GatewaySettings;
@@ -53,7 +53,7 @@
     /// The platform's store.
     pub store: Rc<dyn KvStore>,
     /// The path of requests.
-    pub path: RequestPath,
+    pub handler: RequestHandler,
     /// The copy of the store.
     pub mirror: RefCell<Mirror>,
     /// The store's era.
@@ -139,7 +139,7 @@
         let metrics = GatewayMetrics::new();
         let store = Rc::new(CountedStore::new(store, metrics.store_calls.clone()));
         let bounds = &settings.bounds;
-        let retries = ServiceRetries::new(RetryBounds {
+        let retries = RetryBudgets::new(RetryBounds {
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: Duration::from_secs_f64(bounds.retry_window_s),
@@ -164,24 +164,24 @@
         let messenger =
             Rc::new(Messenger::new(socket, metrics.peer_bytes.clone(), traffic.clone()));
         let me = settings.as_daemon();
-        let daemons_up = Rc::new(RefCell::new(Daemons::new(vec![me.clone()])));
+        let eligible_daemons = Rc::new(RefCell::new(Daemons::new(vec![me.clone()])));
         let quotas = Quotas::new(
             clock.clone(),
             view.clone(),
             messenger.clone(),
             me.clone(),
-            daemons_up.clone(),
+            eligible_daemons.clone(),
             incarnation.clone(),
             bounds.quota_slack,
         );
         let course = SourceSelector::new(settings.members, SyncTimings::new(bounds.news_within()));
         let loads = Rc::new(LoadTable::default());
-        let (proof, coldness) = (Rc::<StoreProof>::default(), Rc::<RefCell<_>>::default());
+        let (proof, coldness) = (Rc::<FreshnessProof>::default(), Rc::<RefCell<_>>::default());
         let backpressure = Rc::new(Backpressure::new(BackpressureDeps {
             clock: clock.clone(),
             messenger: messenger.clone(),
             me: me.clone(),
-            daemons: daemons_up.clone(),
+            daemons: eligible_daemons.clone(),
             metrics: BackpressureMetrics {
                 limited: metrics.limited_servers.clone(),
                 unreadable: metrics.unreadable_words.clone(),
@@ -195,9 +195,9 @@
             view: view.clone(),
             messenger: messenger.clone(),
             me: me.clone(),
-            daemons: daemons_up.clone(),
+            daemons: eligible_daemons.clone(),
         };
-        let slots = Slots::new(SlotParts {
+        let slots = SlotService::new(SlotDeps {
             clock: clock.clone(),
             view: view.clone(),
             loads: loads.clone(),
@@ -205,7 +205,7 @@
             messenger: messenger.clone(),
             me: me.clone(),
             locality: locality.clone(),
-            daemons: daemons_up.clone(),
+            daemons: eligible_daemons.clone(),
         });
         let grants = Grants::new(GrantDeps {
             clock: clock.clone(),
@@ -216,7 +216,7 @@
             backpressure: backpressure.clone(),
             messenger: messenger.clone(),
             me,
-            daemons: daemons_up.clone(),
+            daemons: eligible_daemons.clone(),
             regions: settings.regions(),
             cold_ratio: bounds.cold_ratio,
             cold_slack: bounds.cold_slack,
@@ -225,11 +225,11 @@
                 waits: metrics.grant_waits.clone(),
             },
         });
-        let pool = Rc::<Pool>::default();
+        let pool = Rc::<ConnectionPool>::default();
         let quarantine = Quarantine::new(QuarantineDeps {
             clock: clock.clone(),
             view: view.clone(),
-            daemons: daemons_up.clone(),
+            daemons: eligible_daemons.clone(),
             me: settings.as_daemon(),
             messenger: messenger.clone(),
             pool: pool.clone(),
@@ -240,20 +240,20 @@
                 trials: metrics.trials.clone(),
             },
         });
-        let path = RequestPath {
+        let handler = RequestHandler {
             clock: clock.clone(),
             dialect: dialect.clone(),
             view,
             proof,
-            key_rules: KeyRules::new(
+            key_rules: KeyFreshnessRules::new(
                 bounds.revoke_within_ms.map(Duration::from_millis),
                 Duration::from_millis(bounds.config_within_ms),
             ),
             quotas: Rc::new(quotas),
             grants: Rc::new(grants),
             slots: Rc::new(slots),
-            daemons_up,
-            changed: Rc::new(Notify::new()),
+            eligible_daemons,
+            view_changed: Rc::new(Notify::new()),
             coldness,
             loads,
             pool,
@@ -264,7 +264,7 @@
             demand: Rc::new(AdapterDemandTracker::default()),
             locality,
             traffic,
-            daemons: Cell::new(1),
+            daemon_count: Cell::new(1),
             loads_are_delayed: Cell::new(false),
             held_back: metrics.held_back.clone(),
             is_ordered: is_ordered(clock.clone(), order_executor.clone(), claim_holders.clone()),
@@ -275,7 +275,7 @@
             clock,
             dialect,
             store,
-            path,
+            handler,
             mirror: RefCell::default(),
             eras: RefCell::default(),
             kept_asked: Cell::default(),
@@ -332,7 +332,7 @@
 
     /// How old what this daemon knows of the store may be.
     pub fn staleness(&self) -> Staleness {
-        self.path.staleness()
+        self.handler.staleness()
     }
 
     /// Takes changes of the mirror in; `source` is for logs.
@@ -343,14 +343,14 @@
         let mut changed = false;
         for change in changes {
             self.note_claim(&change);
-            if self.records.borrow_mut().apply(&change) || self.path.quarantine.apply(&change) {
+            if self.records.borrow_mut().apply(&change) || self.handler.quarantine.apply(&change) {
                 continue;
             }
             let key = match &change {
                 MirrorChange::Put(held) => held.key.clone(),
                 MirrorChange::Removed(key) => key.clone(),
             };
-            let applied = self.path.view.borrow_mut().apply(learned_at, &*self.dialect, change);
+            let applied = self.handler.view.borrow_mut().apply(learned_at, &*self.dialect, change);
             match applied {
                 Ok(changes) => {
                     changed |= !changes.is_empty();
@@ -364,44 +364,44 @@
                 }
             }
         }
-        let refused = self.path.view.borrow().refused_entries();
+        let refused = self.handler.view.borrow().refused_entries();
         self.metrics.entries_refused.set(refused as i64);
         if changed {
-            self.path.changed.notify_waiters();
+            self.handler.view_changed.notify_waiters();
         }
     }
 
     /// A server itself has told of a life that the store has not told of yet.
     pub(in crate::gateway) fn on_newer_incarnation(self: &Rc<Self>, server: &Rc<str>, born: u64) {
-        let changes = self.path.view.borrow_mut().on_newer_incarnation(server, born);
+        let changes = self.handler.view.borrow_mut().on_newer_incarnation(server, born);
         let now = self.now();
         for change in &changes {
             self.note(now, change, SOURCE_REPORT);
             self.apply_evacuation_change(now, change, SOURCE_REPORT);
         }
-        self.path.changed.notify_waiters();
+        self.handler.view_changed.notify_waiters();
     }
 
     /// Follows up what servers themselves say of their leaving, for ever.
     pub(in crate::gateway) async fn see_to_leaving(self: Rc<Self>) {
         loop {
-            let changes = self.path.leaving.changes().await;
+            let changes = self.handler.leaving.changes().await;
             let now = self.now();
             changes.iter().for_each(|(change, source)| self.note(now, change, source.name()));
-            self.path.changed.notify_waiters();
+            self.handler.view_changed.notify_waiters();
         }
     }
 
     /// Takes in the head of an answer to an order, or to a question for a report.
-    pub(in crate::gateway) fn on_call_answered(&self, server: &str, head: &AnswerHead) {
-        let backend = self.path.view.borrow().backend(server).cloned();
+    pub(in crate::gateway) fn on_call_answered(&self, server: &str, head: &ResponseHead) {
+        let backend = self.handler.view.borrow().backend(server).cloned();
         let Some(backend) = backend else { return };
-        self.path.backpressure.on_order_response(&backend, &head.meta);
-        self.path.leaving.on_response(&backend, head.meta.leaving);
+        self.handler.backpressure.on_order_response(&backend, &head.meta);
+        self.handler.leaving.on_response(&backend, head.meta.leaving);
     }
 
     fn note(self: &Rc<Self>, now: Time, change: &ViewChange, source: &str) {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let mut planner = self.order_executor.planner.borrow_mut();
         match change {
             ViewChange::Config(version) => {
@@ -414,23 +414,23 @@
             ViewChange::Backend(id) => {
                 if let Some(backend) = view.backend(id) {
                     let entry = EntrySource::of(source);
-                    self.path.coldness.borrow_mut().on_entry(now, backend, entry);
-                    self.path.loads.set_incarnation(id, backend.incarnation_hash());
-                    self.path.loads.set_one_cold(id, self.cold_server(now, &view, backend));
+                    self.handler.coldness.borrow_mut().on_entry(now, backend, entry);
+                    self.handler.loads.set_incarnation(id, backend.incarnation_hash());
+                    self.handler.loads.set_one_cold(id, self.cold_server(now, &view, backend));
                     planner.update_server(now, backend);
                 }
             }
             ViewChange::Draining(id) => {
                 if let Some(backend) = view.backend(id) {
-                    self.path.loads.set_incarnation(id, backend.incarnation_hash());
+                    self.handler.loads.set_incarnation(id, backend.incarnation_hash());
                     planner.update_server(now, backend);
                 }
-                self.path.pool.forget(id);
+                self.handler.pool.close_server(id);
                 log::info!(server = &**id, source = source; "server_draining");
             }
             ViewChange::Restarted { server, before } => {
                 planner.server_restarted(now, server);
-                self.path.pool.forget(server);
+                self.handler.pool.close_server(server);
                 self.order_executor.forget(server);
                 self.metrics.servers_born_again.inc();
                 let (born, before) = (view.born(server).unwrap_or(0), before.unwrap_or(0));
@@ -445,9 +445,9 @@
             }
             ViewChange::BackendGone(id) => {
                 planner.server_gone(id);
-                self.path.pool.forget(id);
-                self.path.loads.forget(id);
-                self.path.coldness.borrow_mut().gone(id);
+                self.handler.pool.close_server(id);
+                self.handler.loads.forget(id);
+                self.handler.coldness.borrow_mut().gone(id);
                 self.order_executor.forget(id);
                 self.drop_claim(id);
                 log::info!(server = &**id, source = source; "server_gone");
--- a/crates/portrack/src/gateway/dialect.rs
+++ b/crates/portrack/src/gateway/dialect.rs
@@ -100,7 +100,7 @@
 
 /// What an answer's headers say of it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AnswerMeta {
+pub struct ResponseMeta {
     /// The request it belongs to.
     pub request_id: Option<String>,
     /// It carries the server's signature.
@@ -208,7 +208,7 @@
     /// Appends the gateway's headers of a request to a server.
     fn write_forward(&self, meta: &ForwardMeta<'_>, out: &mut Vec<u8>);
     /// Takes note of a header of an answer.
-    fn answer_header(&self, name: &str, value: &str, meta: &mut AnswerMeta);
+    fn response_header(&self, name: &str, value: &str, meta: &mut ResponseMeta);
     /// The last event that a caller says it has.
     fn last_event(&self, headers: &HeaderMap) -> Option<String>;
     /// The path of the readiness check.
--- a/crates/portrack/src/gateway/dispatch/dispatcher.rs
+++ b/crates/portrack/src/gateway/dispatch/dispatcher.rs
@@ -4,7 +4,7 @@
 //! knew the load of the servers up to 1.8 s late, all sent to the server they took for the idlest, up to
 //! 24 requests queued there for 240 ms, and servers turned away 45% of what they got.
 
-use crate::gateway::admission::OrganisationMark;
+use crate::gateway::admission::OrganisationHash;
 use crate::gateway::arrivals::{CallId, RetryScheduler, choose_evicted};
 use crate::gateway::backpressure::bucket::{LimitRule, RateBucket};
 use crate::gateway::selection::decay::DecayingSum;
@@ -43,13 +43,13 @@
 
 /// What a request needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// The asking daemon's count.
     pub ask: u32,
     /// The service, by its mark.
     pub service: u32,
     /// Whose request it is, if callers show keys.
-    pub organisation: Option<OrganisationMark>,
+    pub organisation: Option<OrganisationHash>,
     /// Within this it should be answered, in milliseconds.
     pub left_ms: u32,
     /// Servers that have failed it, by their marks.
@@ -68,7 +68,7 @@
 }
 
 /// An answer with the request it is for.
-pub type SlotOrder = (CallId, SlotAnswer);
+pub type SlotReply = (CallId, SlotAnswer);
 
 /// How a request at a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -109,7 +109,7 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     id: CallId,
-    ask: SlotAsk,
+    ask: SlotRequest,
     /// After that it cannot be in time.
     until: Time,
 }
@@ -208,7 +208,7 @@
     }
 
     /// A request goes to a server.
-    fn give(&mut self, now: Time, id: CallId, server: u32) -> SlotOrder {
+    fn give(&mut self, now: Time, id: CallId, server: u32) -> SlotReply {
         self.taken.insert(id, Taken { server, since: now });
         if let Some(bucket) = self.limits.get_mut(&server).filter(|bucket| bucket.is_set()) {
             bucket.take(now);
@@ -222,7 +222,7 @@
     }
 
     /// Decides on a request, or on another one that has to make way for it.
-    pub fn ask(&mut self, now: Time, from: SocketAddr, ask: SlotAsk) -> Vec<SlotOrder> {
+    pub fn ask(&mut self, now: Time, from: SocketAddr, ask: SlotRequest) -> Vec<SlotReply> {
         let id = CallId { from, call: ask.ask };
         if self.taken.contains_key(&id) || self.waiting.iter().any(|waiting| waiting.id == id) {
             return Vec::new();
@@ -261,7 +261,7 @@
     }
 
     /// A request at a server has ended; tells which others have their turn.
-    pub fn ended(&mut self, now: Time, id: CallId, end: SlotEnd) -> Vec<SlotOrder> {
+    pub fn ended(&mut self, now: Time, id: CallId, end: SlotEnd) -> Vec<SlotReply> {
         self.waiting.retain(|waiting| waiting.id != id);
         if let Some(taken) = self.taken.remove(&id) {
             self.note(now, taken, end);
@@ -289,7 +289,7 @@
     }
 
     /// Those whose turn it is, and those that cannot be in time any more.
-    fn turns(&mut self, now: Time) -> Vec<SlotOrder> {
+    fn turns(&mut self, now: Time) -> Vec<SlotReply> {
         let mut orders = Vec::new();
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.sort_by_key(|waiting| waiting.until);
@@ -308,7 +308,7 @@
     }
 
     /// Lets time pass.
-    pub fn pass_time(&mut self, now: Time) -> Vec<SlotOrder> {
+    pub fn tick(&mut self, now: Time) -> Vec<SlotReply> {
         self.taken.retain(|_, taken| now.since(taken.since) < FORGOTTEN_AFTER);
         if self.waiting.is_empty() { Vec::new() } else { self.turns(now) }
     }
--- a/crates/portrack/src/gateway/dispatch/slots.rs
+++ b/crates/portrack/src/gateway/dispatch/slots.rs
@@ -1,8 +1,8 @@
 //! Asks the dispatcher of a service on behalf of requests, and is it for other daemons.
 
-use super::dispatcher::{Dispatcher, ServerSlots, SlotAnswer, SlotAsk, SlotEnd, SlotOrder};
-use super::whom::{Whom, dispatchers};
-use crate::gateway::admission::OrganisationMark;
+use super::dispatcher::{Dispatcher, ServerSlots, SlotAnswer, SlotEnd, SlotReply, SlotRequest};
+use super::whom::{DispatcherRoute, dispatchers_for};
+use crate::gateway::admission::OrganisationHash;
 use crate::gateway::arrivals::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
 use crate::gateway::backpressure::tracker::Backpressure;
 use crate::gateway::fleet::backend::Backend;
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum SlotMessage {
     /// To the dispatcher.
-    Ask(SlotAsk),
+    Ask(SlotRequest),
     /// To the daemon that asked: its count, and the answer.
     Answer(u32, SlotAnswer),
     /// To the dispatcher: the service and the daemon's count of a request that has ended.
@@ -39,17 +39,17 @@
 
 /// What a request needs of a service.
 #[derive(Debug, Clone)]
-pub struct SlotNeed {
+pub struct SlotRequirements {
     /// Whose request it is, if callers show keys.
-    pub organisation: Option<OrganisationMark>,
+    pub organisation: Option<OrganisationHash>,
     /// Within this it should be answered.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Servers that have failed it.
     pub tried: Vec<u32>,
 }
 
 /// What slots hang on.
-pub struct SlotParts {
+pub struct SlotDeps {
     /// The monotonic clock.
     pub clock: Rc<dyn Clock>,
     /// What is known of the fleet.
@@ -69,15 +69,15 @@
 }
 
 /// The slots of small services as one daemon sees them.
-pub struct Slots {
-    parts: SlotParts,
+pub struct SlotService {
+    parts: SlotDeps,
     dispatchers: RefCell<HashMap<u32, Dispatcher>>,
     asks: PendingCalls<SlotAnswer>,
 }
 
-impl Slots {
-    /// Slots of which none is taken.
-    pub fn new(parts: SlotParts) -> Self {
+impl SlotService {
+    /// SlotService of which none is taken.
+    pub fn new(parts: SlotDeps) -> Self {
         Self { parts, dispatchers: RefCell::default(), asks: PendingCalls::default() }
     }
 
@@ -107,9 +107,9 @@
         Some(servers.filter(|(hall, _)| ours(hall)).map(|(_, server)| server).collect())
     }
 
-    /// Whom to ask for a slot at a server that is not among `tried`; `None` for a service that has no
+    /// DispatcherRoute to ask for a slot at a server that is not among `tried`; `None` for a service that has no
     /// dispatchers.
-    fn whom(&self, service: u32, tried: &[u32]) -> Option<Vec<Whom>> {
+    fn whom(&self, service: u32, tried: &[u32]) -> Option<Vec<DispatcherRoute>> {
         let servers = self.servers(service)?.into_iter();
         let left = servers.filter(|(_, server)| !tried.contains(&server.server));
         let halls: Vec<Rc<str>> = left.map(|(hall, _)| hall).collect();
@@ -118,7 +118,7 @@
             !self.asks.is_avoided(now, daemon.address)
                 && !self.parts.loads.is_hall_silent(&daemon.hall)
         };
-        Some(dispatchers(
+        Some(dispatchers_for(
             service.into(),
             &self.parts.locality,
             &self.parts.daemons.borrow(),
@@ -132,18 +132,21 @@
     pub async fn take(
         self: &Rc<Self>,
         service: &str,
-        need: SlotNeed,
+        need: SlotRequirements,
     ) -> Result<Option<SlotGuard>, Refused> {
         let service = server_hash(service);
         let began = self.parts.clock.now();
         let mut refused = None;
         for whom in self.whom(service, &need.tried).unwrap_or_default() {
             let passed = self.parts.clock.now().since(began);
-            let left = need.left.saturating_sub(passed + whom.way);
+            let left = need.time_left.saturating_sub(passed + whom.extra_round_trip);
             if refused.is_some() && left.is_zero() {
                 break;
             }
-            match self.ask(whom, service, SlotNeed { left, ..need.clone() }).await {
+            match self
+                .ask(whom, service, SlotRequirements { time_left: left, ..need.clone() })
+                .await
+            {
                 // A dispatcher that is silent says nothing against the one that refused.
                 Ok(None) if refused.is_some() => break,
                 Ok(slot) => return Ok(slot),
@@ -157,15 +160,15 @@
 
     async fn ask(
         self: &Rc<Self>,
-        whom: Whom,
+        whom: DispatcherRoute,
         service: u32,
-        need: SlotNeed,
+        need: SlotRequirements,
     ) -> Result<Option<SlotGuard>, Refused> {
-        let Whom { dispatcher, way } = whom;
+        let DispatcherRoute { dispatcher, extra_round_trip } = whom;
         let (ask, mut answers) = self.asks.open();
-        let left_ms = u32::try_from(need.left.as_millis()).unwrap_or(u32::MAX);
-        let SlotNeed { organisation, left, tried } = need;
-        let question = SlotAsk { ask, service, organisation, left_ms, tried };
+        let left_ms = u32::try_from(need.time_left.as_millis()).unwrap_or(u32::MAX);
+        let SlotRequirements { organisation, time_left: left, tried } = need;
+        let question = SlotRequest { ask, service, organisation, left_ms, tried };
         // From here on the slot is given back, also if the caller leaves.
         let mut guard = SlotGuard {
             slots: self.clone(),
@@ -176,7 +179,7 @@
             end: Cell::new(Some(SlotEnd::Answered)),
         };
         self.send(dispatcher, SlotMessage::Ask(question));
-        match last_answer(&mut answers, way, left).await {
+        match last_answer(&mut answers, extra_round_trip, left).await {
             Some(SlotAnswer::Granted(server)) => {
                 guard.server = server;
                 Ok(Some(guard))
@@ -235,18 +238,18 @@
         }
     }
 
-    fn carry_out(&self, orders: Vec<SlotOrder>) {
+    fn carry_out(&self, orders: Vec<SlotReply>) {
         for (id, answer) in orders {
             self.send(id.from, SlotMessage::Answer(id.call, answer));
         }
     }
 
     /// Lets those wait no longer that cannot be in time, and frees slots whose end was never told.
-    pub fn pass_time(&self) {
+    pub fn tick(&self) {
         let now = self.parts.clock.now();
-        let orders: Vec<SlotOrder> = {
+        let orders: Vec<SlotReply> = {
             let mut dispatchers = self.dispatchers.borrow_mut();
-            dispatchers.values_mut().flat_map(|dispatcher| dispatcher.pass_time(now)).collect()
+            dispatchers.values_mut().flat_map(|dispatcher| dispatcher.tick(now)).collect()
         };
         self.carry_out(orders);
     }
@@ -255,10 +258,10 @@
 /// What a dispatcher says in the end; `None` if it falls silent.
 async fn last_answer(
     answers: &mut UnboundedReceiver<SlotAnswer>,
-    way: Duration,
+    extra_round_trip: Duration,
     left: Duration,
 ) -> Option<SlotAnswer> {
-    let patience = ANSWER_TIMEOUT + way;
+    let patience = ANSWER_TIMEOUT + extra_round_trip;
     let first = next_answer(answers, patience).await?;
     if first != SlotAnswer::Waits {
         return Some(first);
@@ -268,7 +271,7 @@
 
 /// A slot that a request has; given back when dropped.
 pub struct SlotGuard {
-    slots: Rc<Slots>,
+    slots: Rc<SlotService>,
     dispatcher: SocketAddr,
     service: u32,
     ask: u32,
--- a/crates/portrack/src/gateway/evacuation/changes.rs
+++ b/crates/portrack/src/gateway/evacuation/changes.rs
@@ -22,7 +22,7 @@
                 self.hall_taken_back(now, hall, *evacuation, source);
             }
             ViewChange::Backend(id) => {
-                let view = self.path.view.borrow();
+                let view = self.handler.view.borrow();
                 let evacuated = view.backend(id).is_some_and(|one| view.is_evacuated(one));
                 self.order_executor.planner.borrow_mut().set_evacuated(id, evacuated);
             }
@@ -33,7 +33,7 @@
     fn hall_evacuated(&self, now: Time, hall: &Rc<str>, source: &str) {
         let within = Duration::from_millis(self.settings.bounds.evacuate_within_ms);
         // Proof is renewed only after the news that came with it has been taken in.
-        self.path.view.borrow_mut().evacuated.date(hall, now, &self.path.proof, within);
+        self.handler.view.borrow_mut().evacuated.date(hall, now, &self.handler.proof, within);
         self.set_evacuated(hall, true);
         let (age_ms, running) = (self.proof_age_ms(), self.running_in(hall));
         log::info!(
@@ -44,8 +44,8 @@
 
     fn hall_taken_back(&self, now: Time, hall: &Rc<str>, evacuation: Evacuation, source: &str) {
         self.set_evacuated(hall, false);
-        let view = self.path.view.borrow();
-        let mut coldness = self.path.coldness.borrow_mut();
+        let view = self.handler.view.borrow();
+        let mut coldness = self.handler.coldness.borrow_mut();
         view.backends_of(hall).for_each(|backend| coldness.assume_cold(now, &backend.id));
         drop(coldness);
         self.look_at_cold(now);
@@ -57,7 +57,7 @@
     }
 
     fn set_evacuated(&self, hall: &str, evacuated: bool) {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let mut planner = self.order_executor.planner.borrow_mut();
         view.backends_of(hall).for_each(|one| planner.set_evacuated(&one.id, evacuated));
         self.metrics.evacuated_halls.set(view.evacuated.all().count() as i64);
@@ -65,23 +65,23 @@
 
     /// This daemon's requests that run at the servers of a hall.
     fn running_in(&self, hall: &str) -> u32 {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let marks: HashSet<u32> =
             view.backends_of(hall).map(|one| one.incarnation_hash()).collect();
-        let own = self.path.loads.own_work().into_iter();
+        let own = self.handler.loads.own_work().into_iter();
         own.filter(|(mark, _)| marks.contains(mark)).map(|(_, work)| work.requests).sum()
     }
 
     /// Tells which halls have closed, and what runs in evacuated ones.
     pub(in crate::gateway) fn look_at_evacuated(&self, now: Time) {
-        let closed = self.path.view.borrow_mut().evacuated.newly_closed(now);
+        let closed = self.handler.view.borrow_mut().evacuated.newly_closed(now);
         for (hall, evacuation) in closed {
             let left_ms = evacuation.closes_at.since(evacuation.learned_at).as_millis() as u64;
             let running = self.running_in(&hall);
             log::info!(hall = &*hall, left_ms = left_ms, running = running; "hall_closed");
         }
         let halls: Vec<Rc<str>> = {
-            let view = self.path.view.borrow();
+            let view = self.handler.view.borrow();
             view.evacuated.all().map(|(hall, _)| hall.clone()).collect()
         };
         let running: u32 = halls.iter().map(|hall| self.running_in(hall)).sum();
--- a/crates/portrack/src/gateway/evacuation/copying.rs
+++ b/crates/portrack/src/gateway/evacuation/copying.rs
@@ -25,7 +25,7 @@
             for (service, key, pace) in self.held_only_in_closing_halls(now) {
                 // At least one, or it would come after what nobody uses.
                 let requests = (pace.round() as u16).max(1);
-                if self.path.request_load(&service, &key, requests) {
+                if self.handler.request_load(&service, &key, requests) {
                     self.metrics.evacuation_copies.inc();
                 }
             }
@@ -35,7 +35,7 @@
     /// The adapters in use that only servers of halls which are being left hold, the hottest first, of
     /// the servers that this daemon orders.
     fn held_only_in_closing_halls(&self, now: Time) -> Vec<(Rc<str>, AdapterKey, f64)> {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         if view.evacuated.all().next().is_none() {
             return Vec::new();
         }
@@ -58,7 +58,7 @@
     fn is_held_elsewhere(&self, now: Time, view: &FleetView, key: &AdapterKey) -> bool {
         let holders = view.adapter_locations.holders(now, key).into_iter();
         let mut holders = holders.filter_map(|(id, _)| view.backend(&id));
-        let silent = |hall: &str| self.path.loads.is_hall_silent(hall);
+        let silent = |hall: &str| self.handler.loads.is_hall_silent(hall);
         holders.any(|holder| view.is_open(holder) && !silent(&holder.hall))
     }
 }
--- a/crates/portrack/src/gateway/evacuation/halls.rs
+++ b/crates/portrack/src/gateway/evacuation/halls.rs
@@ -1,6 +1,6 @@
 //! Which data halls are evacuated, and until when their servers may still be sent to.
 
-use crate::gateway::admission::StoreProof;
+use crate::gateway::admission::FreshnessProof;
 use crate::types::Time;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -43,7 +43,7 @@
 
     /// Takes in how old the news of a hall can be that has just come: the `proof` held before it is of a
     /// moment at which the store did not say so yet. Nothing may arrive `within` this time of its word.
-    pub fn date(&mut self, hall: &str, now: Time, proof: &StoreProof, within: Duration) {
+    pub fn date(&mut self, hall: &str, now: Time, proof: &FreshnessProof, within: Duration) {
         let Some(evacuation) = self.halls.get_mut(hall) else { return };
         let span = within.mul_f64(CLOSED_SHARE);
         let left = proof.age(now).map_or(Duration::ZERO, |age| span.saturating_sub(age));
--- a/crates/portrack/src/gateway/fleet/gossip.rs
+++ b/crates/portrack/src/gateway/fleet/gossip.rs
@@ -4,7 +4,7 @@
     AdapterLoadRequest, AdapterUsage, MAX_DATAGRAM, NoticeState, PeerMessage, PlacementNotice,
     ServerLoad, decode,
 };
-use crate::gateway::admission::TOLD_EVERY;
+use crate::gateway::admission::COUNTS_INTERVAL;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::AdapterKey;
 use crate::gateway::orders::order_executor::NoticeSink;
@@ -41,8 +41,8 @@
     /// Tells accountants of quotas what they must know, for ever.
     pub async fn run_quota_reports(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(TOLD_EVERY).await;
-            self.path.quotas.tell();
+            actix_rt::time::sleep(COUNTS_INTERVAL).await;
+            self.handler.quotas.send_counts();
         }
     }
 
@@ -50,11 +50,11 @@
     pub async fn run_queue_timers(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(SLOTS_LOOK).await;
-            self.path.slots.pass_time();
-            self.path.grants.tick();
-            self.path.quarantine.tick();
-            self.path.backpressure.tick();
-            self.path.leaving.tick();
+            self.handler.slots.tick();
+            self.handler.grants.tick();
+            self.handler.quarantine.tick();
+            self.handler.backpressure.tick();
+            self.handler.leaving.tick();
         }
     }
 
@@ -62,7 +62,7 @@
     pub async fn run_held_request_records(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(RECORDS_KEPT).await;
-            self.path.quarantine.sync_records().await;
+            self.handler.quarantine.sync_records().await;
         }
     }
 
@@ -94,13 +94,13 @@
                 let mut peers = self.peers.borrow_mut();
                 addresses.into_iter().for_each(|address| peers.add_candidate(address));
             }
-            PeerMessage::Slots(message) => self.path.slots.on_message(message, from),
-            PeerMessage::Grants(message) => self.path.grants.on_message(message, from),
-            PeerMessage::Quarantine(message) => self.path.quarantine.on_message(message),
-            PeerMessage::Leaving(marks) => self.path.leaving.on_message(&marks),
+            PeerMessage::Slots(message) => self.handler.slots.on_message(message, from),
+            PeerMessage::Grants(message) => self.handler.grants.on_message(message, from),
+            PeerMessage::Quarantine(message) => self.handler.quarantine.on_message(message),
+            PeerMessage::Leaving(marks) => self.handler.leaving.on_message(&marks),
             PeerMessage::KnownAs(former) => self.raise_above(former),
-            PeerMessage::Limits(reports) => self.path.grants.on_limits(&reports),
-            PeerMessage::Quota(message) => self.path.quotas.on_message(message, from),
+            PeerMessage::Limits(reports) => self.handler.grants.on_limits(&reports),
+            PeerMessage::Quota(message) => self.handler.quotas.on_message(message, from),
         }
     }
 
@@ -111,7 +111,7 @@
         for wish in wishes {
             let server: Rc<str> = wish.server.as_str().into();
             let key = key_of(&wish.model, &wish.adapter);
-            let born = self.path.view.borrow().born(&server);
+            let born = self.handler.view.borrow().born(&server);
             let ours = self.order_executor.claims.borrow().may_order(now, &server).is_some();
             let answer = match ours {
                 true => {
@@ -160,14 +160,14 @@
 
     /// Applies what servers report of their load, and passes it on to this daemon's followers.
     pub(in crate::gateway) fn on_loads(&self, loads: &[ServerLoad]) {
-        self.path.loads.record_reports(self.now(), loads);
+        self.handler.loads.record_reports(self.now(), loads);
         self.feed.push_loads(loads);
     }
 
     /// Applies what other daemons have changed at servers, if it is of the life that is known here.
     pub(in crate::gateway) fn on_notices(&self, notices: &[PlacementNotice]) {
         let now = self.now();
-        let mut view = self.path.view.borrow_mut();
+        let mut view = self.handler.view.borrow_mut();
         for notice in notices {
             if view.backend(&notice.server).is_none_or(|backend| backend.born != notice.born) {
                 continue;
@@ -189,15 +189,15 @@
             view.adapter_locations.notice(&key, &server, presence, now + holds);
         }
         drop(view);
-        self.path.changed.notify_waiters();
+        self.handler.view_changed.notify_waiters();
     }
 
     /// Tells the daemons that order servers what is wished for, for ever.
     pub async fn run_load_request_reports(self: Rc<Self>) {
         loop {
-            self.path.demand.load_requested().await;
+            self.handler.demand.load_requested().await;
             let now = self.now();
-            let wishes = self.path.demand.take_load_requests().into_iter().map(|wish| {
+            let wishes = self.handler.demand.take_load_requests().into_iter().map(|wish| {
                 let told = AdapterLoadRequest {
                     server: wish.server.to_string(),
                     model: wish.key.model.to_string(),
@@ -220,16 +220,16 @@
     pub async fn run_use_reports(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(USES_TOLD).await;
-            self.send_uses(self.path.demand.take_usage());
-            self.path.demand.sweep(self.now());
+            self.send_uses(self.handler.demand.take_usage());
+            self.handler.demand.sweep(self.now());
         }
     }
 
     /// Tells them at once what begins and ceases to be used, for ever.
     pub async fn run_use_change_reports(self: Rc<Self>) {
         loop {
-            self.path.demand.usage_changed().await;
-            self.send_uses(self.path.demand.take_changed());
+            self.handler.demand.usage_changed().await;
+            self.send_uses(self.handler.demand.take_changed());
         }
     }
 
--- a/crates/portrack/src/gateway/fleet/heartbeats.rs
+++ b/crates/portrack/src/gateway/fleet/heartbeats.rs
@@ -72,22 +72,22 @@
         let spares_far = self.peers.borrow().spares_far();
         let (far, near): (Vec<SocketAddr>, Vec<SocketAddr>) = targets
             .into_iter()
-            .partition(|target| spares_far && self.path.traffic.is_remote(*target));
+            .partition(|target| spares_far && self.handler.traffic.is_remote(*target));
         let brief = Heartbeat { work: Vec::new(), ..heartbeat.clone() };
         near.into_iter().for_each(|to| self.send(&PeerMessage::Heartbeat(heartbeat.clone()), to));
         far.into_iter().for_each(|to| self.send(&PeerMessage::Heartbeat(brief.clone()), to));
         let up = self.peers.borrow().up(now).count();
-        self.path.daemons.set(up + 1);
+        self.handler.daemon_count.set(up + 1);
         let loads_are_delayed = !self.peers.borrow().is_full_mesh();
-        self.path.loads_are_delayed.set(loads_are_delayed);
-        self.path.grants.loads_are_delayed.set(loads_are_delayed);
-        self.path.grants.update_daemons(self.peers.borrow().all());
+        self.handler.loads_are_delayed.set(loads_are_delayed);
+        self.handler.grants.loads_are_delayed.set(loads_are_delayed);
+        self.handler.grants.update_daemons(self.peers.borrow().all());
         self.look_at_halls(now);
         self.order_executor.planner.borrow_mut().set_daemon_count(up + 1);
         self.metrics.peers_up.set(up as i64);
         let daemons = self.daemons_that_stay(now);
-        self.path.traffic.set_daemons(&daemons);
-        self.path.daemons_up.replace(daemons);
+        self.handler.traffic.set_daemons(&daemons);
+        self.handler.eligible_daemons.replace(daemons);
     }
 
     /// The daemons that may do duties for others.
@@ -106,11 +106,11 @@
     fn look_at_halls(&self, now: Time) {
         let mut silent = self.peers.borrow().silent_halls(now, &self.settings.hall);
         silent.retain(|hall| !self.hears_servers_of(now, hall));
-        let before = self.path.loads.silent_halls();
+        let before = self.handler.loads.silent_halls();
         if silent != before {
             log::warn!(halls:? = silent, before:? = before; "silent_halls");
-            log_silence_changes(self.path.locality.regions(), &before, &silent);
-            self.path.loads.set_silent_halls(silent);
+            log_silence_changes(self.handler.locality.regions(), &before, &silent);
+            self.handler.loads.set_silent_halls(silent);
         }
     }
 
@@ -118,9 +118,10 @@
     /// daemons, all killed or stopped at once, are silent. Without it servers that live got no
     /// requests for 3 to 25 s.
     fn hears_servers_of(&self, now: Time, hall: &str) -> bool {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let mut servers = view.backends().filter(|backend| &*backend.hall == hall);
-        servers.any(|backend| self.path.loads.has_answered_within(now, &backend.id, HALL_ANSWERS))
+        servers
+            .any(|backend| self.handler.loads.has_answered_within(now, &backend.id, HALL_ANSWERS))
     }
 
     /// What this daemon tells of itself.
@@ -136,7 +137,7 @@
             sees_store: self.sees_store(),
             watches: self.watches.get(),
             orders: self.orderable_marks(now),
-            work: self.path.loads.own_work(),
+            work: self.handler.loads.own_work(),
             known: self.peers.borrow().known(now),
             capacity: self.settings.limits.capacity(),
             heard: u16::try_from(self.peers.borrow().up(now).count()).unwrap_or(u16::MAX),
@@ -159,7 +160,7 @@
         if heartbeat.address == self.settings.members {
             return;
         }
-        self.path.loads.set_peer_work(now, &node, heartbeat.work.clone());
+        self.handler.loads.set_peer_work(now, &node, heartbeat.work.clone());
         self.look_for_reconnection(now);
         if let Some((own, of_others)) = heartbeat.news.split_first() {
             self.course.borrow_mut().heard(now, own, of_others);
@@ -173,9 +174,9 @@
         }
         self.introduce_to(now, address, heard);
         if change == Some(PeerChange::Up) {
-            self.path.quarantine.send_snapshot(address);
-            self.path.backpressure.send_snapshot(address);
-            self.path.leaving.send_snapshot(address);
+            self.handler.quarantine.send_snapshot(address);
+            self.handler.backpressure.send_snapshot(address);
+            self.handler.leaving.send_snapshot(address);
         }
         match change {
             Some(PeerChange::Up) if self.logs_each_peer() => log::info!(peer = &*node; "peer_up"),
--- a/crates/portrack/src/gateway/fleet/view.rs
+++ b/crates/portrack/src/gateway/fleet/view.rs
@@ -220,7 +220,7 @@
             return Vec::new();
         }
         let before = self.config.as_ref().and_then(|held| held.organisations.as_ref());
-        self.revoked.note(before, config.organisations.as_ref());
+        self.revoked.update(before, config.organisations.as_ref());
         self.routes = RouteTable::new(&config);
         self.config = Some(Rc::new(config));
         let mut changes = vec![ViewChange::Config(version)];
--- a/crates/portrack/src/gateway/mod.rs
+++ b/crates/portrack/src/gateway/mod.rs
@@ -23,10 +23,10 @@
 mod store_sync;
 
 pub use admission::{
-    Admitted, BlindShare, Charge, Credential, KeyDigest, KeyRules, Ledger, Organisation,
-    OrganisationMark, Organisations, Pace, Quota, QuotaAnswer, QuotaAsk, QuotaCount, QuotaCounts,
-    QuotaMessage, QuotaReturned, QuotaUnit, Quotas, RevokedKeys, StoreProof, TokenBucket, Verdict,
-    organisation_of,
+    AuthenticatedCaller, Charge, Credential, DecayingRate, FallbackShare, FreshnessProof,
+    KeyDigest, KeyFreshnessRules, Organisation, OrganisationHash, Organisations, Quota,
+    QuotaAnswer, QuotaCount, QuotaCounts, QuotaDecision, QuotaLedger, QuotaMessage, QuotaRefunds,
+    QuotaRequest, QuotaUnit, Quotas, RevokedKeys, TokenBucket, authenticate,
 };
 pub use arrivals::{
     CallId, ColdBound, ColdRule, ColdWindow, FallbackShares, GrantAnswer, GrantEnd, GrantMessage,
@@ -44,18 +44,18 @@
 pub use backpressure::message::LimitReport;
 pub use backpressure::tracker::{Backpressure, BackpressureDeps, BackpressureMetrics};
 pub use cold::server::ColdServer;
-pub use connections::answer::{AnswerError, AnswerHead, Framing, take_head};
-pub use connections::body::{BodyDecoder, Step};
+pub use connections::body::{BodyDecoder, DecodeStep};
 pub use connections::connection::{Connection, ExchangeError};
-pub use connections::pool::Pool;
+pub use connections::pool::ConnectionPool;
+pub use connections::response::{Framing, ResponseError, ResponseHead, parse_head};
 pub use daemon::GatewayDaemon;
 pub use dialect::{
-    AdapterKey, AnswerMeta, Dialect, DialectError, ForwardMeta, Item, ItemKey, MalformedSnafu,
-    ModelRequest, Order, OrderAnswer, OrderKind, RequestMeta, ServerReport,
+    AdapterKey, Dialect, DialectError, ForwardMeta, Item, ItemKey, MalformedSnafu, ModelRequest,
+    Order, OrderAnswer, OrderKind, RequestMeta, ResponseMeta, ServerReport,
 };
 pub use dispatch::{
-    Dispatcher, ServerSlots, SlotAnswer, SlotAsk, SlotEnd, SlotGuard, SlotMessage, SlotNeed,
-    SlotOrder, Slots, Whom, dispatchers,
+    Dispatcher, DispatcherRoute, ServerSlots, SlotAnswer, SlotEnd, SlotGuard, SlotMessage,
+    SlotReply, SlotRequest, SlotRequirements, SlotService, dispatchers_for,
 };
 pub use evacuation::halls::{EvacuatedHalls, Evacuation};
 pub use fleet::backend::{Backend, HeldAdapter, HeldModel, incarnation_hash};
@@ -105,10 +105,12 @@
     CallerGone, CallerRequest, RefusalReason, Refused, ReplyHead, ReplySink,
 };
 pub use requests::events::EventSplitter;
-pub use requests::exchange::{Exchange, NotRun, Outgoing, Sent, exchange};
-pub use requests::job::{Progress, RequestEnd, Served};
-pub use requests::path::RequestPath;
-pub use requests::retries::{RetryBounds, ServiceRetries};
+pub use requests::exchange::{
+    NotRunReason, OutgoingRequest, SendOutcome, ServerResponse, send_request,
+};
+pub use requests::handler::RequestHandler;
+pub use requests::job::{Progress, RequestOutcome, RequestRecord};
+pub use requests::retries::{RetryBounds, RetryBudgets};
 pub use requests::routes::{RouteTable, pick_target};
 pub use requests::timings::Timings;
 pub use run::{GatewayError, RunningGateway, start_gateway};
--- a/crates/portrack/src/gateway/orders/claiming.rs
+++ b/crates/portrack/src/gateway/orders/claiming.rs
@@ -181,7 +181,7 @@
 
     fn tries(&self) -> Vec<ClaimAttempt> {
         let now = self.now();
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let peers = self.peers.borrow();
         let claims = self.order_executor.claims.borrow();
         let records = self.records.borrow();
--- a/crates/portrack/src/gateway/orders/order_call.rs
+++ b/crates/portrack/src/gateway/orders/order_call.rs
@@ -1,8 +1,8 @@
 //! Calls to servers about what they hold, on connections of their own.
 
-use crate::gateway::connections::answer::AnswerHead;
 use crate::gateway::connections::body::BodyDecoder;
-use crate::gateway::connections::pool::{Lent, Pool};
+use crate::gateway::connections::pool::{ConnectionPool, PooledConnection};
+use crate::gateway::connections::response::ResponseHead;
 use crate::gateway::dialect::Dialect;
 use actix_http::StatusCode;
 use bytes::{Bytes, BytesMut};
@@ -53,12 +53,12 @@
 }
 
 /// Told of the head of each answer, with the server that was meant.
-pub(in crate::gateway) type AnswerHeard = Box<dyn Fn(&str, &AnswerHead)>;
+pub(in crate::gateway) type AnswerHeard = Box<dyn Fn(&str, &ResponseHead)>;
 
 /// Makes calls.
 pub(in crate::gateway) struct OrderCalls {
     dialect: Rc<dyn Dialect>,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     heard: OnceCell<AnswerHeard>,
 }
 
@@ -75,25 +75,25 @@
 
     /// Forgets a server that is gone.
     pub fn forget(&self, server: &str) {
-        self.pool.forget(server);
+        self.pool.close_server(server);
     }
 
     /// Closes connections that can no longer be used.
     pub fn sweep(&self) {
-        self.pool.sweep();
+        self.pool.close_unusable();
     }
 
     /// Makes one call; `still` is asked right before the first byte leaves.
     pub async fn call(&self, call: &OrderCall<'_>, still: impl Fn() -> bool) -> Called {
-        let Ok(lent) = self.pool.lend(call.server, call.address, CONNECTIONS).await else {
+        let Ok(pooled) = self.pool.acquire(call.server, call.address, CONNECTIONS).await else {
             return Called::NotSent;
         };
         let bytes = self.bytes(call);
         if !still() {
-            lent.keep();
+            pooled.release();
             return Called::NotSent;
         }
-        let answering = self.answer(call.server, lent, &bytes);
+        let answering = self.answer(call.server, pooled, &bytes);
         match actix_rt::time::timeout(call.patience, answering).await {
             Ok(Some(answer)) => Called::Answer(answer),
             Ok(None) | Err(_) => Called::NoAnswer,
@@ -115,22 +115,27 @@
         bytes
     }
 
-    async fn answer(&self, server: &str, mut lent: Lent, bytes: &[u8]) -> Option<CallAnswer> {
-        let connection = lent.connection();
+    async fn answer(
+        &self,
+        server: &str,
+        mut pooled: PooledConnection,
+        bytes: &[u8],
+    ) -> Option<CallAnswer> {
+        let connection = pooled.connection();
         connection.send(bytes).await.ok()?;
-        let head: AnswerHead = connection.head(&*self.dialect).await.ok()?;
+        let head: ResponseHead = connection.read_head(&*self.dialect).await.ok()?;
         if let Some(heard) = self.heard.get() {
             heard(server, &head);
         }
         let mut decoder = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
-        while let Some(part) = connection.part(&mut decoder).await.ok()? {
+        while let Some(part) = connection.read_chunk(&mut decoder).await.ok()? {
             body.extend_from_slice(&part);
         }
-        connection.answered();
+        connection.response_complete();
         if !head.close && !connection.has_leftover() {
-            connection.rest(head.keep_alive);
-            lent.keep();
+            connection.mark_idle(head.keep_alive);
+            pooled.release();
         }
         Some(CallAnswer { status: head.status, body: body.freeze() })
     }
--- a/crates/portrack/src/gateway/quarantine/coordinator.rs
+++ b/crates/portrack/src/gateway/quarantine/coordinator.rs
@@ -6,7 +6,7 @@
 use super::state::{QuarantineChange, QuarantineState};
 use super::suspect_requests::{SendVerdict, ServerEnd};
 use crate::gateway::connections::connection::ExchangeError;
-use crate::gateway::connections::pool::{LendError, Pool};
+use crate::gateway::connections::pool::{AcquireError, ConnectionPool};
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
 use crate::gateway::fleet::message::PeerMessage;
@@ -38,7 +38,7 @@
     /// For datagrams.
     pub messenger: Rc<Messenger>,
     /// Connections to servers.
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     /// The platform's store.
     pub store: Rc<dyn KvStore>,
     /// Everything counted.
@@ -148,12 +148,12 @@
 
     /// True if nothing listens where the server was. One that cannot be reached may only be cut off.
     async fn refuses_connections(&self, backend: &Backend) -> bool {
-        match self.parts.pool.lend(&backend.id, backend.address, usize::MAX).await {
-            Ok(lent) => {
-                lent.keep();
+        match self.parts.pool.acquire(&backend.id, backend.address, usize::MAX).await {
+            Ok(pooled) => {
+                pooled.release();
                 false
             }
-            Err(LendError::Unreachable(ExchangeError::NotConnected { refused, .. })) => refused,
+            Err(AcquireError::Unreachable(ExchangeError::NotConnected { refused, .. })) => refused,
             Err(_) => false,
         }
     }
--- a/crates/portrack/src/gateway/requests/caller.rs
+++ b/crates/portrack/src/gateway/requests/caller.rs
@@ -102,7 +102,7 @@
     /// It shows no key.
     MissingKey,
     /// It shows several keys.
-    DoubledKey,
+    MultipleKeys,
     /// What it shows is no key.
     MalformedKey,
     /// No organisation holds its key.
@@ -134,7 +134,7 @@
             Self::BadRequest => "bad_request",
             Self::Stopping => "stopping",
             Self::MissingKey => "missing_key",
-            Self::DoubledKey => "doubled_key",
+            Self::MultipleKeys => "doubled_key",
             Self::MalformedKey => "malformed_key",
             Self::UnknownKey => "unknown_key",
             Self::RevokedKey => "revoked_key",
@@ -152,7 +152,7 @@
             Self::Lost => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             Self::MissingKey
-            | Self::DoubledKey
+            | Self::MultipleKeys
             | Self::MalformedKey
             | Self::UnknownKey
             | Self::RevokedKey => StatusCode::UNAUTHORIZED,
--- a/crates/portrack/src/gateway/requests/exchange.rs
+++ b/crates/portrack/src/gateway/requests/exchange.rs
@@ -1,10 +1,10 @@
 //! One request at one server.
 
 use super::caller::CallerRequest;
-use crate::gateway::connections::answer::{AnswerHead, Framing};
 use crate::gateway::connections::body::BodyDecoder;
 use crate::gateway::connections::connection::ExchangeError;
-use crate::gateway::connections::pool::{LendError, Lent, Pool};
+use crate::gateway::connections::pool::{AcquireError, ConnectionPool, PooledConnection};
+use crate::gateway::connections::response::{Framing, ResponseHead};
 use crate::gateway::dialect::{Dialect, ForwardMeta};
 use crate::gateway::fleet::backend::Backend;
 use actix_http::Method;
@@ -21,18 +21,18 @@
 
 /// How sending a request to a server went.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The server answers.
-    Answer(Box<Exchange>),
+    Answer(Box<ServerResponse>),
     /// The server certainly did not run it.
-    NotRun(NotRun),
+    NotRun(NotRunReason),
     /// The server may have run it.
     MayHaveRun(ExchangeError),
 }
 
 /// Why a request was certainly not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotRun {
+pub enum NotRunReason {
     /// This daemon's share of the server's connections is in use.
     NoConnection,
     /// The server is to get nothing any more, as became known before the request was written.
@@ -51,18 +51,18 @@
 
 /// An answer under way.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct ServerResponse {
     /// Its head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     body: BodyDecoder,
-    lent: Lent,
+    lent: PooledConnection,
     sent_whole: bool,
 }
 
-impl Exchange {
+impl ServerResponse {
     /// The next part of the body; `None` at its end.
     pub async fn part(&mut self) -> Result<Option<Bytes>, ExchangeError> {
-        self.lent.connection().part(&mut self.body).await
+        self.lent.connection().read_chunk(&mut self.body).await
     }
 
     /// The whole body.
@@ -80,12 +80,12 @@
     /// Gives the connection back after the whole answer.
     pub fn finish(mut self) {
         let connection = self.lent.connection();
-        connection.answered();
+        connection.response_complete();
         if self.head.close || !self.sent_whole || connection.has_leftover() {
             return;
         }
-        connection.rest(self.head.keep_alive);
-        self.lent.keep();
+        connection.mark_idle(self.head.keep_alive);
+        self.lent.release();
     }
 }
 
@@ -117,7 +117,7 @@
 
 /// A request on its way to a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Its id, which its answer repeats.
     pub request_id: &'a str,
     /// Its bytes.
@@ -128,52 +128,54 @@
 
 /// Sends a request and reads the head of its answer. `may_send` is asked once the connection is there; `heard` is told
 /// of the head, also where the server turns the request away.
-pub async fn exchange(
+pub async fn send_request(
     dialect: &dyn Dialect,
-    pool: &Rc<Pool>,
+    pool: &Rc<ConnectionPool>,
     backend: &Backend,
-    outgoing: Outgoing<'_>,
-    may_send: impl Fn() -> Result<(), NotRun>,
-    heard: impl Fn(&AnswerHead),
-) -> Sent {
-    let Outgoing { request_id, bytes, most_connections } = outgoing;
-    let lent = pool.lend(&backend.id, backend.address, most_connections).await;
+    outgoing: OutgoingRequest<'_>,
+    may_send: impl Fn() -> Result<(), NotRunReason>,
+    heard: impl Fn(&ResponseHead),
+) -> SendOutcome {
+    let OutgoingRequest { request_id, bytes, most_connections } = outgoing;
+    let lent = pool.acquire(&backend.id, backend.address, most_connections).await;
     let mut lent = match lent {
         Ok(lent) => lent,
-        Err(LendError::Full) => return Sent::NotRun(NotRun::NoConnection),
-        Err(LendError::Unreachable(error)) => return Sent::NotRun(NotRun::Unreachable(error)),
+        Err(AcquireError::Full) => return SendOutcome::NotRun(NotRunReason::NoConnection),
+        Err(AcquireError::Unreachable(error)) => {
+            return SendOutcome::NotRun(NotRunReason::Unreachable(error));
+        }
     };
     if let Err(why) = may_send() {
-        return Sent::NotRun(why);
+        return SendOutcome::NotRun(why);
     }
     let sent_whole = match lent.connection().send(bytes).await {
         Ok(whole) => whole,
-        Err(error) => return Sent::MayHaveRun(error),
+        Err(error) => return SendOutcome::MayHaveRun(error),
     };
     for _ in 0..=FOREIGN_SKIPPED {
-        let head = match lent.connection().head(dialect).await {
+        let head = match lent.connection().read_head(dialect).await {
             Ok(head) => head,
-            Err(error) => return Sent::MayHaveRun(error),
+            Err(error) => return SendOutcome::MayHaveRun(error),
         };
         let mut body = BodyDecoder::new(head.framing);
         let foreign = head.meta.request_id.as_deref().is_some_and(|id| id != request_id);
         if !foreign {
             heard(&head);
-            return classify(Exchange { head, body, lent, sent_whole }).await;
+            return classify(ServerResponse { head, body, lent, sent_whole }).await;
         }
-        while let Ok(Some(_)) = lent.connection().part(&mut body).await {}
+        while let Ok(Some(_)) = lent.connection().read_chunk(&mut body).await {}
     }
-    Sent::MayHaveRun(ExchangeError::Lost { why: "answers of other requests".into() })
+    SendOutcome::MayHaveRun(ExchangeError::Lost { why: "answers of other requests".into() })
 }
 
-async fn classify(mut exchange: Exchange) -> Sent {
+async fn classify(mut exchange: ServerResponse) -> SendOutcome {
     let status = exchange.head.status.as_u16();
     let not_run = exchange.head.meta.not_run || status == 421;
     if not_run && matches!(status, 421 | 429 | 503) {
         if exchange.head.framing != Framing::UntilClose && exchange.collect().await.is_ok() {
             exchange.finish();
         }
-        return Sent::NotRun(NotRun::TurnedAway(status));
+        return SendOutcome::NotRun(NotRunReason::TurnedAway(status));
     }
-    Sent::Answer(Box::new(exchange))
+    SendOutcome::Answer(Box::new(exchange))
 }
--- a/crates/portrack/src/gateway/requests/path.rs
+++ b/crates/portrack/src/gateway/requests/handler.rs
@@ -1,19 +1,19 @@
 //! The path of a request: route, server, tries, answer.
 
 use super::caller::{CallerRequest, RefusalReason, Refused, ReplySink};
-use super::exchange::{NotRun, Outgoing, Sent, exchange, request_bytes};
-use super::job::{Choice, Job, Progress, RequestEnd, Served, timed_out};
+use super::exchange::{NotRunReason, OutgoingRequest, SendOutcome, request_bytes, send_request};
+use super::job::{Choice, Job, Progress, RequestOutcome, RequestRecord, timed_out};
 use super::relay::{Relay, RelayEnd};
-use super::retries::ServiceRetries;
+use super::retries::RetryBudgets;
 use super::routes::pick_target;
-use crate::gateway::admission::{Charge, KeyRules, Quotas, StoreProof, organisation_of};
+use crate::gateway::admission::{Charge, FreshnessProof, KeyFreshnessRules, Quotas, authenticate};
 use crate::gateway::arrivals::{GrantEnd, GrantGuard, Grants};
 use crate::gateway::backpressure::leaving::LeavingServers;
 use crate::gateway::backpressure::tracker::Backpressure;
-use crate::gateway::connections::answer::AnswerHead;
-use crate::gateway::connections::pool::Pool;
+use crate::gateway::connections::pool::ConnectionPool;
+use crate::gateway::connections::response::ResponseHead;
 use crate::gateway::dialect::{Dialect, ForwardMeta};
-use crate::gateway::dispatch::{SlotEnd, Slots};
+use crate::gateway::dispatch::{SlotEnd, SlotService};
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::cold_start_tracker::ColdStartTracker;
 use crate::gateway::fleet::config::Service;
@@ -39,7 +39,7 @@
 const SLOW_FACTOR: u32 = 3;
 
 /// Everything that the path of requests shares.
-pub struct RequestPath {
+pub struct RequestHandler {
     /// The monotonic clock.
     pub clock: Rc<dyn Clock>,
     /// The platform's messages.
@@ -47,25 +47,25 @@
     /// What is known of the fleet.
     pub view: Rc<RefCell<FleetView>>,
     /// How fresh the view is.
-    pub proof: Rc<StoreProof>,
+    pub proof: Rc<FreshnessProof>,
     /// How fresh it must be for keys.
-    pub key_rules: KeyRules,
+    pub key_rules: KeyFreshnessRules,
     /// What organisations may send.
     pub quotas: Rc<Quotas>,
     /// Arrivals at servers.
     pub grants: Rc<Grants>,
-    /// Slots of the servers of small services.
-    pub slots: Rc<Slots>,
+    /// SlotService of the servers of small services.
+    pub slots: Rc<SlotService>,
     /// The daemons that may do duties for others.
-    pub daemons_up: Rc<RefCell<Daemons>>,
+    pub eligible_daemons: Rc<RefCell<Daemons>>,
     /// Woken when the view has changed.
-    pub changed: Rc<Notify>,
+    pub view_changed: Rc<Notify>,
     /// Which servers may be slow from their start.
     pub coldness: Rc<RefCell<ColdStartTracker>>,
     /// Load and health of the servers.
     pub loads: Rc<LoadTable>,
     /// Connections to the servers.
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     /// What servers say of how much they take.
     pub backpressure: Rc<Backpressure>,
     /// Servers that leave by their own word.
@@ -73,7 +73,7 @@
     /// Requests that servers ended under.
     pub quarantine: Rc<Quarantine>,
     /// What may be repeated.
-    pub retries: RefCell<ServiceRetries>,
+    pub retries: RefCell<RetryBudgets>,
     /// What is asked for.
     pub demand: Rc<AdapterDemandTracker>,
     /// True if some daemon, as far as known, may order this server.
@@ -83,7 +83,7 @@
     /// What goes to other regions.
     pub traffic: Rc<RegionTraffic>,
     /// Daemons that share the servers' connections and the retry budget.
-    pub daemons: Cell<usize>,
+    pub daemon_count: Cell<usize>,
     /// The loads of servers are known some hundred milliseconds late, as in fleets where not every
     /// heartbeat reaches all.
     pub loads_are_delayed: Cell<bool>,
@@ -96,28 +96,28 @@
     /// Try another server.
     Again,
     /// It is over.
-    End(RequestEnd),
+    End(RequestOutcome),
 }
 
-impl RequestPath {
+impl RequestHandler {
     /// Serves a request to its end.
     pub async fn serve(
         &self,
         request: &CallerRequest,
         sink: &mut impl ReplySink,
         progress: &Progress,
-    ) -> Served {
+    ) -> RequestRecord {
         let mut job = match self.job(request, progress) {
             Ok(job) => job,
-            Err(refused) => return Served::refused(refused),
+            Err(refused) => return RequestRecord::refused(refused),
         };
         *progress.route.borrow_mut() = Some(job.route.clone());
         if let Err(refused) = self.admit(&mut job).await {
-            return Served::refused_on(refused, job.route.clone());
+            return RequestRecord::refused_on(refused, job.route.clone());
         }
         job.charge = match self.charge(&job).await {
             Ok(charge) => charge,
-            Err(refused) => return Served::refused_on(refused, job.route.clone()),
+            Err(refused) => return RequestRecord::refused_on(refused, job.route.clone()),
         };
         let now = self.clock.now();
         self.retries.borrow_mut().note_request(now, &job.service.name);
@@ -126,10 +126,10 @@
         let running = self.run(&mut job, &mut relay, sink);
         let end = match actix_rt::time::timeout(time_left, running).await {
             Ok(end) => end,
-            Err(_) if relay.begun() => RequestEnd::Broken("deadline".into()),
-            Err(_) => RequestEnd::Refused(timed_out(&job)),
+            Err(_) if relay.begun() => RequestOutcome::Broken("deadline".into()),
+            Err(_) => RequestOutcome::Refused(timed_out(&job)),
         };
-        Served {
+        RequestRecord {
             end,
             route: Some(job.route.clone()),
             server: job.server.clone(),
@@ -158,7 +158,7 @@
         let route = view.route(&request.host, request.path());
         let route = route.ok_or_else(no_route)?.clone();
         let shown = request.meta.credential;
-        let admitted = organisation_of(now, config, &route, shown, &view.revoked, rules, proof)?;
+        let admitted = authenticate(now, config, &route, shown, &view.revoked, rules, proof)?;
         let name = admitted.organisation.as_ref().map(|organisation| organisation.name.clone());
         *progress.organisation.borrow_mut() = name;
         let service = pick_target(&route, &request.meta.id)
@@ -178,7 +178,7 @@
             sends: 0,
             runs: 0,
             tried: Vec::new(),
-            full: RefCell::default(),
+            servers_at_limit: RefCell::default(),
             server: None,
             last_event: request.last_event.clone(),
             last_failure: String::new(),
@@ -189,8 +189,8 @@
     }
 
     /// True if proof of the configuration is fresh enough for requests that a key opens.
-    pub fn believes_keys(&self) -> bool {
-        self.key_rules.allow_keys(self.clock.now(), &self.proof)
+    pub fn accepts_keys(&self) -> bool {
+        self.key_rules.accepts_keys(self.clock.now(), &self.proof)
     }
 
     /// Takes what a request needs of its organisation's quota.
@@ -206,7 +206,7 @@
         job: &mut Job<'_>,
         relay: &mut Relay,
         sink: &mut impl ReplySink,
-    ) -> RequestEnd {
+    ) -> RequestOutcome {
         loop {
             let choosing = tokio::select! {
                 biased;
@@ -218,12 +218,12 @@
             let choice = match choosing {
                 Ok(choice) => choice,
                 Err(refused) if relay.begun() => {
-                    return RequestEnd::Broken(refused.reason.name().into());
+                    return RequestOutcome::Broken(refused.reason.name().into());
                 }
                 Err(_) if job.may_have_run() => {
-                    return RequestEnd::Refused(Refused::new(RefusalReason::Lost, None));
+                    return RequestOutcome::Refused(Refused::new(RefusalReason::Lost, None));
                 }
-                Err(refused) => return RequestEnd::Refused(refused),
+                Err(refused) => return RequestOutcome::Refused(refused),
             };
             match self.try_at(job, &choice, relay, sink).await {
                 Next::Again => {}
@@ -244,7 +244,7 @@
         }
         if job.sends > 0 && !self.may_send_again(job) {
             return Next::End(match relay.begun() {
-                true => RequestEnd::Broken("retry budget".into()),
+                true => RequestOutcome::Broken("retry budget".into()),
                 false => job.out_of_tries(RefusalReason::Budget, None),
             });
         }
@@ -259,31 +259,32 @@
         let _using = job.adapter().map(|key| self.demand.begin(&backend.id, &key));
         let most = self.connections_share(&job.service);
         job.sends += 1;
-        job.progress.timings.sent(now);
+        job.progress.timings.record_sent(now);
         job.charge.may_run();
         choice.sent(now);
         self.traffic.count_server_bytes("requests", &backend.hall, bytes.len());
         let id = &job.request.meta.id;
         let may_send = || self.may_send_now(job, choice);
-        let heard = |head: &AnswerHead| {
+        let heard = |head: &ResponseHead| {
             self.backpressure.on_response(backend, now, head.status.as_u16(), &head.meta);
             self.leaving.on_response(backend, head.meta.leaving);
         };
-        let outgoing = Outgoing { request_id: id, bytes: &bytes, most_connections: most };
-        let exchanging = exchange(&*self.dialect, &self.pool, backend, outgoing, may_send, heard);
+        let outgoing = OutgoingRequest { request_id: id, bytes: &bytes, most_connections: most };
+        let exchanging =
+            send_request(&*self.dialect, &self.pool, backend, outgoing, may_send, heard);
         let sent = match self.slow_after(job, now) {
             Some(patience) => match actix_rt::time::timeout(patience, exchanging).await {
                 Ok(sent) => sent,
-                Err(_) => {
-                    Sent::MayHaveRun(crate::gateway::ExchangeError::Lost { why: "slow".into() })
-                }
+                Err(_) => SendOutcome::MayHaveRun(crate::gateway::ExchangeError::Lost {
+                    why: "slow".into(),
+                }),
             },
             None => exchanging.await,
         };
         drop(bytes);
         match sent {
-            Sent::NotRun(why) => self.after_not_run(job, choice, &why, relay),
-            Sent::MayHaveRun(error) => {
+            SendOutcome::NotRun(why) => self.after_not_run(job, choice, &why, relay),
+            SendOutcome::MayHaveRun(error) => {
                 job.runs += 1;
                 choice.ended(SlotEnd::Failed);
                 choice.grant_ended(GrantEnd::Lost);
@@ -293,7 +294,7 @@
                 self.note_broken(job, &error, backend);
                 self.after_loss(job, relay)
             }
-            Sent::Answer(answer) => {
+            SendOutcome::Answer(answer) => {
                 job.runs += 1;
                 guard.begun();
                 job.progress.begun.set(true);
@@ -302,12 +303,12 @@
                 let heard = || {
                     let now = self.clock.now();
                     guard.record_activity(now);
-                    timings.part(now);
+                    timings.record_chunk(now);
                     choice.begun(now);
                 };
                 let end = relay.answer(job, *answer, sink, heard).await;
                 choice.begun(self.clock.now());
-                if let Some(apart) = timings.event_apart() {
+                if let Some(apart) = timings.mean_event_gap() {
                     self.grants.record_event_gap(&job.service.name, apart);
                 }
                 self.traffic.count_server_bytes("answers", &backend.hall, relay.take_received());
@@ -325,19 +326,19 @@
 
     /// Whether a request may be sent at this moment: what is known of its server, and of the request, may have changed while a
     /// connection was opened.
-    fn may_send_now(&self, job: &Job<'_>, choice: &Choice) -> Result<(), NotRun> {
+    fn may_send_now(&self, job: &Job<'_>, choice: &Choice) -> Result<(), NotRunReason> {
         let (backend, mark) = (&choice.backend, choice.backend.incarnation_hash());
         if !self.view.borrow().accepts_requests(self.clock.now(), &backend.id) {
-            return Err(NotRun::Closed);
+            return Err(NotRunReason::Closed);
         }
         if self.held_for(job).is_some() {
-            return Err(NotRun::HeldBack);
+            return Err(NotRunReason::HeldBack);
         }
         if self.backpressure.backoff_remaining(mark).is_some() {
-            return Err(NotRun::Resting);
+            return Err(NotRunReason::Resting);
         }
         if !self.is_let_in(choice) {
-            return Err(NotRun::Ungranted);
+            return Err(NotRunReason::Ungranted);
         }
         self.backpressure.sent(mark);
         Ok(())
@@ -373,21 +374,21 @@
     }
 
     fn connections_share(&self, service: &Service) -> usize {
-        (service.max_connections / self.daemons.get().max(1)).max(2)
+        (service.max_connections / self.daemon_count.get().max(1)).max(2)
     }
 
     fn may_send_again(&self, job: &Job<'_>) -> bool {
         let now = self.clock.now();
         job.runs < job.route.attempts
             && job.sends < job.route.attempts + EXTRA_SENDS
-            && self.retries.borrow_mut().take(now, &job.service.name, self.daemons.get())
+            && self.retries.borrow_mut().take(now, &job.service.name, self.daemon_count.get())
     }
 
     fn after_not_run(
         &self,
         job: &mut Job<'_>,
         choice: &Choice,
-        why: &NotRun,
+        why: &NotRunReason,
         relay: &Relay,
     ) -> Next {
         let (now, id) = (self.clock.now(), &choice.backend.id);
@@ -396,30 +397,30 @@
             job.charge.has_not_run();
         }
         match why {
-            NotRun::NoConnection => {
+            NotRunReason::NoConnection => {
                 job.sends -= 1;
                 choice.grant_ended(GrantEnd::Unsent);
             }
-            NotRun::HeldBack => {
+            NotRunReason::HeldBack => {
                 job.sends -= 1;
                 choice.grant_ended(GrantEnd::Unsent);
                 // It says nothing of the server; only its place is given back.
                 choice.ended(SlotEnd::Answered);
             }
-            NotRun::Ungranted | NotRun::Resting => {
+            NotRunReason::Ungranted | NotRunReason::Resting => {
                 job.sends -= 1;
                 job.tried.pop();
                 choice.grant_ended(GrantEnd::Unsent);
                 choice.ended(SlotEnd::Unsent);
                 return Next::Again;
             }
-            NotRun::Closed => {
+            NotRunReason::Closed => {
                 job.sends -= 1;
                 choice.grant_ended(GrantEnd::Unsent);
                 choice.ended(SlotEnd::Unreachable);
                 self.held_back.inc();
             }
-            NotRun::Unreachable(_) => {
+            NotRunReason::Unreachable(_) => {
                 job.sends -= 1;
                 choice.ended(SlotEnd::Unreachable);
                 choice.grant_ended(GrantEnd::Unreachable);
@@ -428,7 +429,7 @@
                     self.loads.unreachable(now, id);
                 }
             }
-            NotRun::TurnedAway(status) => {
+            NotRunReason::TurnedAway(status) => {
                 choice.ended(SlotEnd::Failed);
                 if *status == 421 {
                     choice.grant_ended(GrantEnd::TurnedAway);
@@ -441,7 +442,7 @@
             return Next::Again;
         }
         Next::End(match relay.begun() {
-            true => RequestEnd::Broken("no server left".into()),
+            true => RequestOutcome::Broken("no server left".into()),
             false => job.out_of_tries(RefusalReason::Busy, self.soonest_rest(job)),
         })
     }
@@ -451,8 +452,8 @@
             return Next::Again;
         }
         Next::End(match relay.begun() {
-            true => RequestEnd::Broken(job.last_failure.clone()),
-            false => RequestEnd::Refused(Refused::new(RefusalReason::Lost, None)),
+            true => RequestOutcome::Broken(job.last_failure.clone()),
+            false => RequestOutcome::Refused(Refused::new(RefusalReason::Lost, None)),
         })
     }
 
@@ -476,9 +477,9 @@
                 if status < 500 {
                     self.note_served(job);
                 }
-                Next::End(RequestEnd::Answered(status))
+                Next::End(RequestOutcome::Answered(status))
             }
-            RelayEnd::CallerGone => Next::End(RequestEnd::CallerGone),
+            RelayEnd::CallerGone => Next::End(RequestOutcome::CallerGone),
             RelayEnd::Failed(status) => {
                 self.loads.record_outcome_of(now, server, true);
                 job.last_failure = format!("status {status}");
--- a/crates/portrack/src/gateway/requests/held.rs
+++ b/crates/portrack/src/gateway/requests/held.rs
@@ -1,8 +1,8 @@
 //! Requests that are held back since servers ended under them, on the path of requests.
 
 use super::caller::{RefusalReason, Refused};
-use super::job::{Job, RequestEnd};
-use super::path::RequestPath;
+use super::handler::RequestHandler;
+use super::job::{Job, RequestOutcome};
 use crate::gateway::connections::connection::ExchangeError;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::quarantine::suspect_requests::SendVerdict;
@@ -12,7 +12,7 @@
 /// When to come back if another node has just begun to try the request, or the store cannot be reached.
 const TRIAL_RETRY: Duration = Duration::from_secs(10);
 
-impl RequestPath {
+impl RequestHandler {
     /// Lets a request in unless it is held back. One whose hold is over is tried once, by one node.
     pub(super) async fn admit(&self, job: &mut Job<'_>) -> Result<(), Refused> {
         if self.quarantine.has_no_holds() {
@@ -76,13 +76,13 @@
 
 impl Job<'_> {
     /// The end of a request that is held back when it was about to be sent.
-    pub(super) fn held_back(&self, left: Duration, answer_begun: bool) -> RequestEnd {
+    pub(super) fn held_back(&self, left: Duration, answer_begun: bool) -> RequestOutcome {
         if answer_begun {
-            return RequestEnd::Broken(RefusalReason::Quarantined.name().into());
+            return RequestOutcome::Broken(RefusalReason::Quarantined.name().into());
         }
         match self.may_have_run() {
-            true => RequestEnd::Refused(Refused::new(RefusalReason::Lost, None)),
-            false => RequestEnd::Refused(held_back(left)),
+            true => RequestOutcome::Refused(Refused::new(RefusalReason::Lost, None)),
+            false => RequestOutcome::Refused(held_back(left)),
         }
     }
 }
--- a/crates/portrack/src/gateway/requests/host.rs
+++ b/crates/portrack/src/gateway/requests/host.rs
@@ -2,8 +2,8 @@
 
 use super::caller::{CallerRequest, RefusalReason, Refused};
 use super::ingress::{Host, Writer, serve_connection};
-use super::job::{Progress, RequestEnd, Served};
-use crate::gateway::admission::OrganisationMark;
+use super::job::{Progress, RequestOutcome, RequestRecord};
+use crate::gateway::admission::OrganisationHash;
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::Dialect;
 use crate::gateway::fleet::config::{CallerLimits, RouteKind};
@@ -29,7 +29,7 @@
     daemon: &'a GatewayDaemon,
     request: &'a CallerRequest,
     progress: Progress,
-    served: Option<Served>,
+    served: Option<RequestRecord>,
 }
 
 impl GatewayDaemon {
@@ -66,7 +66,7 @@
 
 impl Host for GatewayDaemon {
     fn limits(&self) -> CallerLimits {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         view.config().map(|config| config.limits.clone()).unwrap_or_default()
     }
 
@@ -97,10 +97,12 @@
         };
         self.in_flight.set(self.in_flight.get() + 1);
         let served = match self.is_too_late_for(&request) {
-            true => Served::refused(Refused::new(RefusalReason::Stopping, Some(STOPPING_RETRY))),
-            false => self.path.serve(&request, sink, &account.progress).await,
+            true => {
+                RequestRecord::refused(Refused::new(RefusalReason::Stopping, Some(STOPPING_RETRY)))
+            }
+            false => self.handler.serve(&request, sink, &account.progress).await,
         };
-        if let RequestEnd::Refused(refused) = &served.end {
+        if let RequestOutcome::Refused(refused) = &served.end {
             let _ = sink.refuse(refused).await;
         }
         account.served = Some(served);
@@ -163,8 +165,8 @@
     /// What the fleet sends of the request's organisation, in percent of its limit; -1 if unknown.
     fn quota_used_percent(&self) -> i64 {
         let organisation = self.progress.organisation.borrow();
-        let mark = organisation.as_ref().map(|name| OrganisationMark::of(name));
-        mark.map_or(-1, |mark| self.daemon.path.quotas.used_percent(mark))
+        let mark = organisation.as_ref().map(|name| OrganisationHash::of(name));
+        mark.map_or(-1, |mark| self.daemon.handler.quotas.used_percent(mark))
     }
 
     /// What the request's tries have in common; empty if no server has broken off under it.
@@ -184,27 +186,27 @@
 
     fn end(&self) -> &'static str {
         match self.served.as_ref().map(|served| &served.end) {
-            Some(RequestEnd::Answered(status)) if *status < 400 => "answered",
-            Some(RequestEnd::Answered(_)) => "answered_failure",
-            Some(RequestEnd::Refused(Refused { reason, .. })) => reason.name(),
-            Some(RequestEnd::Broken(_)) => "broken",
-            Some(RequestEnd::CallerGone) | None => "caller_gone",
+            Some(RequestOutcome::Answered(status)) if *status < 400 => "answered",
+            Some(RequestOutcome::Answered(_)) => "answered_failure",
+            Some(RequestOutcome::Refused(Refused { reason, .. })) => reason.name(),
+            Some(RequestOutcome::Broken(_)) => "broken",
+            Some(RequestOutcome::CallerGone) | None => "caller_gone",
         }
     }
 
-    fn log(&self, served: &Served, end: &'static str, took: Duration) {
+    fn log(&self, served: &RequestRecord, end: &'static str, took: Duration) {
         let request = self.request;
         let status = match &served.end {
-            RequestEnd::Answered(status) => *status,
-            RequestEnd::Refused(refused) => refused.status.as_u16(),
-            RequestEnd::Broken(_) | RequestEnd::CallerGone => 0,
+            RequestOutcome::Answered(status) => *status,
+            RequestOutcome::Refused(refused) => refused.status.as_u16(),
+            RequestOutcome::Broken(_) | RequestOutcome::CallerGone => 0,
         };
         let retry_after = match &served.end {
-            RequestEnd::Refused(refused) => refused.retry_after,
+            RequestOutcome::Refused(refused) => refused.retry_after,
             _ => None,
         };
         let broken = match &served.end {
-            RequestEnd::Broken(why) => why.as_str(),
+            RequestOutcome::Broken(why) => why.as_str(),
             _ => "",
         };
         let route = served.route.as_ref().map_or("", |route| &*route.name);
--- a/crates/portrack/src/gateway/requests/job.rs
+++ b/crates/portrack/src/gateway/requests/job.rs
@@ -2,7 +2,7 @@
 
 use super::caller::{CallerRequest, RefusalReason, Refused};
 use super::timings::Timings;
-use crate::gateway::admission::{Admitted, Charge};
+use crate::gateway::admission::{AuthenticatedCaller, Charge};
 use crate::gateway::arrivals::{GrantEnd, GrantGuard, GrantTimings};
 use crate::gateway::dialect::{AdapterKey, ModelRequest};
 use crate::gateway::dispatch::{SlotEnd, SlotGuard};
@@ -44,7 +44,7 @@
 
 /// How a request ended, for logs and metrics.
 #[derive(Debug, Clone, PartialEq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// A server's answer was handed on whole.
     Answered(u16),
     /// The gateway refused it.
@@ -66,7 +66,7 @@
     /// Its service.
     pub service: Rc<Service>,
     /// Whose request it is.
-    pub admitted: Admitted,
+    pub admitted: AuthenticatedCaller,
     /// What it has taken of its organisation's quota.
     pub charge: Charge,
     /// When it must have its final answer.
@@ -78,7 +78,7 @@
     /// Servers tried.
     pub tried: Vec<Rc<str>>,
     /// Servers that name a limit and have no room within it for this request.
-    pub full: RefCell<Vec<Rc<str>>>,
+    pub servers_at_limit: RefCell<Vec<Rc<str>>>,
     /// The server of the last try.
     pub server: Option<Rc<str>>,
     /// The last event handed on, to go on behind it.
@@ -152,8 +152,8 @@
     }
 
     /// True if a server is not to be chosen any more: it was tried, or has no room.
-    pub fn is_passed_over(&self, server: &Rc<str>) -> bool {
-        self.tried.contains(server) || self.full.borrow().contains(server)
+    pub fn is_excluded(&self, server: &Rc<str>) -> bool {
+        self.tried.contains(server) || self.servers_at_limit.borrow().contains(server)
     }
 
     /// The adapter asked for, if any.
@@ -198,11 +198,11 @@
         &self,
         reason: RefusalReason,
         after: Option<Duration>,
-    ) -> RequestEnd {
+    ) -> RequestOutcome {
         if self.may_have_run() {
-            return RequestEnd::Refused(Refused::new(RefusalReason::Lost, None));
+            return RequestOutcome::Refused(Refused::new(RefusalReason::Lost, None));
         }
-        RequestEnd::Refused(Refused::new(reason, after.or(Some(BUSY_RETRY))))
+        RequestOutcome::Refused(Refused::new(reason, after.or(Some(BUSY_RETRY))))
     }
 }
 
@@ -216,9 +216,9 @@
 
 /// A request's end with what is worth logging of it.
 #[derive(Debug)]
-pub struct Served {
+pub struct RequestRecord {
     /// How it ended.
-    pub end: RequestEnd,
+    pub end: RequestOutcome,
     /// Its route.
     pub route: Option<Rc<Route>>,
     /// The server of the last try.
@@ -231,11 +231,11 @@
     pub adapter_note: String,
 }
 
-impl Served {
+impl RequestRecord {
     /// A request that was refused before it had a route.
     pub fn refused(refused: Refused) -> Self {
         Self {
-            end: RequestEnd::Refused(refused),
+            end: RequestOutcome::Refused(refused),
             route: None,
             server: None,
             sends: 0,
--- a/crates/portrack/src/gateway/requests/relay.rs
+++ b/crates/portrack/src/gateway/requests/relay.rs
@@ -2,10 +2,10 @@
 
 use super::caller::{ReplyHead, ReplySink};
 use super::events::EventSplitter;
-use super::exchange::Exchange;
+use super::exchange::ServerResponse;
 use super::job::Job;
-use crate::gateway::connections::answer::AnswerHead;
 use crate::gateway::connections::connection::ExchangeError;
+use crate::gateway::connections::response::ResponseHead;
 use crate::gateway::fleet::config::{Route, RouteKind};
 use actix_http::StatusCode;
 
@@ -59,7 +59,7 @@
     pub async fn answer(
         &mut self,
         job: &Job<'_>,
-        mut exchange: Exchange,
+        mut exchange: ServerResponse,
         sink: &mut impl ReplySink,
         heard: impl Fn(),
     ) -> RelayEnd {
@@ -88,7 +88,7 @@
         self.whole(exchange, sink).await
     }
 
-    async fn whole(&mut self, mut exchange: Exchange, sink: &mut impl ReplySink) -> RelayEnd {
+    async fn whole(&mut self, mut exchange: ServerResponse, sink: &mut impl ReplySink) -> RelayEnd {
         let body = match exchange.collect().await {
             Ok(body) => body,
             Err(error) => return RelayEnd::BrokenOff(error),
@@ -111,7 +111,7 @@
 
     async fn stream(
         &mut self,
-        mut exchange: Exchange,
+        mut exchange: ServerResponse,
         sink: &mut impl ReplySink,
         heard: impl Fn(),
     ) -> RelayEnd {
@@ -160,6 +160,6 @@
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-fn reply_head(head: &AnswerHead, length: Option<u64>) -> ReplyHead {
+fn reply_head(head: &ResponseHead, length: Option<u64>) -> ReplyHead {
     ReplyHead { status: head.status, headers: head.headers.clone(), length }
 }
--- a/crates/portrack/src/gateway/requests/retries.rs
+++ b/crates/portrack/src/gateway/requests/retries.rs
@@ -30,12 +30,12 @@
 
 /// What this daemon may repeat.
 #[derive(Debug, Clone)]
-pub struct ServiceRetries {
+pub struct RetryBudgets {
     bounds: RetryBounds,
     services: HashMap<Rc<str>, VecDeque<Count>>,
 }
 
-impl ServiceRetries {
+impl RetryBudgets {
     /// Budgets that are all full.
     pub fn new(bounds: RetryBounds) -> Self {
         Self { bounds, services: HashMap::new() }
--- a/crates/portrack/src/gateway/requests/timings.rs
+++ b/crates/portrack/src/gateway/requests/timings.rs
@@ -19,12 +19,12 @@
 
 impl Timings {
     /// The request is sent to a server, again if it was before.
-    pub fn sent(&self, now: Time) {
+    pub fn record_sent(&self, now: Time) {
         self.sent.set(Some(now));
     }
 
     /// A part of the answer came.
-    pub fn part(&self, now: Time) {
+    pub fn record_chunk(&self, now: Time) {
         self.parts.set(self.parts.get() + 1);
         if self.first_part.get().is_none() {
             self.first_part.set(Some(now));
@@ -46,7 +46,7 @@
     }
 
     /// How far apart the parts came on average; `None` if there were too few to tell.
-    pub fn event_apart(&self) -> Option<Duration> {
+    pub fn mean_event_gap(&self) -> Option<Duration> {
         let apart = self.last_part.get()?.since(self.first_part.get()?);
         let parts = self.parts.get();
         (parts >= LEAST_PARTS).then(|| apart / (parts - 1))
--- a/crates/portrack/src/gateway/run.rs
+++ b/crates/portrack/src/gateway/run.rs
@@ -147,10 +147,10 @@
 impl GatewayDaemon {
     /// True while new callers are wanted. A daemon that can believe in no key leaves them to others.
     pub fn is_ready(&self) -> bool {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let serves = view
             .config()
-            .is_some_and(|config| config.organisations.is_none() || self.path.believes_keys());
+            .is_some_and(|config| config.organisations.is_none() || self.handler.accepts_keys());
         !self.stopping() && serves
     }
 
@@ -158,10 +158,10 @@
         loop {
             actix_rt::time::sleep(SWEEP).await;
             let now: Time = self.now();
-            self.path.pool.sweep();
+            self.handler.pool.close_unusable();
             self.order_executor.sweep();
             self.order_executor.planner.borrow_mut().sweep(now);
-            self.path.view.borrow_mut().adapter_locations.expire_notices(now);
+            self.handler.view.borrow_mut().adapter_locations.expire_notices(now);
             self.forget_limits();
             self.metrics.in_flight.set(self.in_flight.get() as i64);
             self.check_proof();
@@ -172,10 +172,10 @@
 impl GatewayDaemon {
     /// Forgets what servers said that are gone.
     fn forget_limits(&self) {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let marks: HashSet<u32> =
             view.backends().map(|backend| backend.incarnation_hash()).collect();
-        self.path.backpressure.retain(|server| marks.contains(&server));
+        self.handler.backpressure.retain(|server| marks.contains(&server));
     }
 
     /// Waits for the refusals of requests that came at the very end of a stop.
--- a/crates/portrack/src/gateway/selection/candidates.rs
+++ b/crates/portrack/src/gateway/selection/candidates.rs
@@ -3,8 +3,8 @@
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::view::FleetView;
 use crate::gateway::requests::caller::{RefusalReason, Refused};
+use crate::gateway::requests::handler::RequestHandler;
 use crate::gateway::requests::job::Job;
-use crate::gateway::requests::path::RequestPath;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// When to come back while no server is left in the regions that a request may be served in.
 const NO_ALLOWED_RETRY: Duration = Duration::from_millis(1_000);
 
-impl RequestPath {
+impl RequestHandler {
     /// True if a server is one that may serve a request now, at its first send and at every other one.
     pub(in crate::gateway) fn may_serve(&self, job: &Job<'_>, backend: &Backend) -> bool {
         self.is_permitted(job, backend)
@@ -57,7 +57,7 @@
     /// for it, and those that may not serve it.
     pub(in crate::gateway) fn barred(&self, job: &Job<'_>) -> Vec<u32> {
         let view = self.view.borrow();
-        let full = job.full.borrow();
+        let full = job.servers_at_limit.borrow();
         let tried = job.tried.iter().chain(&*full).map(|id| self.loads.mark(id));
         let open = view.open_backends(&job.service.name);
         let outside = open.filter(|backend| !self.may_serve(job, backend));
@@ -84,7 +84,7 @@
     pub(in crate::gateway) fn has_roomier(&self, job: &Job<'_>) -> bool {
         let view = self.view.borrow();
         let reachable = self.reachable(&view, job);
-        let mut others = reachable.filter(|backend| !job.is_passed_over(&backend.id));
+        let mut others = reachable.filter(|backend| !job.is_excluded(&backend.id));
         let needs_load = job.model().is_some() && job.adapter().is_some();
         others.any(|backend| !needs_load || !self.grants.is_limited(backend))
     }
--- a/crates/portrack/src/gateway/selection/granted.rs
+++ b/crates/portrack/src/gateway/selection/granted.rs
@@ -4,8 +4,8 @@
 use crate::gateway::arrivals::{GrantNeed, GrantOutcome, WaitingGrant};
 use crate::gateway::dispatch::SlotEnd;
 use crate::gateway::requests::caller::{RefusalReason, Refused};
+use crate::gateway::requests::handler::RequestHandler;
 use crate::gateway::requests::job::{Choice, Job};
-use crate::gateway::requests::path::RequestPath;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -30,13 +30,13 @@
     Refused(Duration),
 }
 
-impl RequestPath {
+impl RequestHandler {
     /// A server for the next try that lets the request in now.
     pub(in crate::gateway) async fn choose_granted(
         &self,
         job: &Job<'_>,
     ) -> Result<Choice, Refused> {
-        job.full.borrow_mut().clear();
+        job.servers_at_limit.borrow_mut().clear();
         let mut soonest: Option<Refused> = None;
         for _ in 0..CHOICES {
             let choice = match self.choose(job).await {
@@ -56,7 +56,7 @@
                 Ok(None) => {}
                 Err(refused) => {
                     soonest = Some(sooner(soonest, refused));
-                    let for_a_limit = !job.full.borrow().is_empty();
+                    let for_a_limit = !job.servers_at_limit.borrow().is_empty();
                     if !for_a_limit || !self.has_roomier(job) {
                         break;
                     }
@@ -77,7 +77,9 @@
                 self.sooner_turn(job, choice, waiting).await
             }
             // Where all servers serve alike, the dispatcher chooses another one.
-            Turn::Refused(after) if job.model().is_none() && job.full.borrow().contains(&asked) => {
+            Turn::Refused(after)
+                if job.model().is_none() && job.servers_at_limit.borrow().contains(&asked) =>
+            {
                 Turn::Refused(after)
             }
             Turn::Refused(after) => self.turn_elsewhere(job, asked, after).await,
@@ -105,11 +107,11 @@
         if !waits || job.model().is_some() {
             return false;
         }
-        job.full.borrow_mut().push(choice.backend.id.clone());
+        job.servers_at_limit.borrow_mut().push(choice.backend.id.clone());
         let elsewhere = self.has_roomier(job);
         match elsewhere {
             true => choice.ended(SlotEnd::Unsent),
-            false => drop(job.full.borrow_mut().pop()),
+            false => drop(job.servers_at_limit.borrow_mut().pop()),
         }
         elsewhere
     }
@@ -156,7 +158,7 @@
     fn note_full(&self, job: &Job<'_>, choice: &Choice, after: Duration) {
         let backend = &choice.backend;
         if self.grants.is_limited(backend) {
-            job.full.borrow_mut().push(backend.id.clone());
+            job.servers_at_limit.borrow_mut().push(backend.id.clone());
             choice.ended(SlotEnd::Unsent);
             self.backpressure.skipped_full_server(backend.incarnation_hash());
             self.loads.reads_until(&backend.id, self.clock.now() + after.min(FULL_FOR));
@@ -204,7 +206,7 @@
         let model = job.model();
         let first_event = model.map_or(Duration::ZERO, |_| FIRST_EVENT);
         GrantNeed {
-            organisation: job.admitted.organisation.as_ref().map(|all| all.mark()),
+            organisation: job.admitted.organisation.as_ref().map(|all| all.name_hash()),
             tokens: model.map_or(0, |model| model.prompt_tokens as u32),
             priority: job.priority(),
             left: job.route.objective.saturating_sub(passed + first_event).min(most),
--- a/crates/portrack/src/gateway/selection/load_reports.rs
+++ b/crates/portrack/src/gateway/selection/load_reports.rs
@@ -25,7 +25,7 @@
     pub(in crate::gateway) async fn report_loads(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(REPORT_EVERY).await;
-            if !self.path.loads_are_delayed.get() {
+            if !self.handler.loads_are_delayed.get() {
                 continue;
             }
             let loads = self.clone().read_loads().await;
@@ -42,7 +42,7 @@
 
     async fn read_loads(self: Rc<Self>) -> Vec<ServerLoad> {
         let servers: Vec<_> = {
-            let view = self.path.view.borrow();
+            let view = self.handler.view.borrow();
             let ordered = self.order_executor.claims.borrow().orderable(self.now());
             let backends = ordered.iter().filter_map(|id| view.backend(id));
             backends.map(|backend| (backend.id.clone(), backend.address)).collect()
@@ -52,7 +52,7 @@
             let report = daemon.order_executor.fetch_load_report(server, *address).await?;
             daemon.look_at_life(server, &report)?;
             let requests = u16::try_from(report.requests).unwrap_or(u16::MAX);
-            Some(ServerLoad { server: daemon.path.loads.mark(server), requests })
+            Some(ServerLoad { server: daemon.handler.loads.mark(server), requests })
         });
         join_all(reading).await.into_iter().flatten().collect()
     }
@@ -89,7 +89,7 @@
         let Some((demand, version)) = self.replica_demand(now, server, key, pace, runs) else {
             return;
         };
-        let load = self.path.loads.work(now, server).requests;
+        let load = self.handler.loads.work(now, server).requests;
         let relief = is_overloaded(demand.slots, load) && demand.coming == 0;
         let missing = demand.missing_here().max(usize::from(relief));
         if missing == 0 {
@@ -106,7 +106,7 @@
             // Of many fetches that wait, those for adapters with much demand come first. Without it
             // an adapter with 25 requests a second, 50 of them waiting, got one replica in 5 s.
             let requests = demand.per_second.round() as u16;
-            self.path
+            self.handler
                 .demand
                 .wish(now, LoadRequest { server: target, key: key.clone(), version, requests });
         }
@@ -122,7 +122,7 @@
         per_second: f64,
         runs: Duration,
     ) -> Option<(ReplicaDemand, u64)> {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let newest = view.newest_version(key);
         let mut all = view.adapter_locations.holders(now, key);
         all.retain(|(id, _)| view.backend(id).is_some_and(|holder| view.is_open(holder)));
@@ -136,7 +136,7 @@
         let demand = ReplicaDemand {
             per_second,
             runs,
-            reads: self.path.grants.reads(&view.backend(server)?.service),
+            reads: self.handler.grants.reads(&view.backend(server)?.service),
             slots: view.backend(server)?.slots,
             holders: sharers.len(),
             current: all.iter().filter(|(_, version)| is_current(version)).count(),
@@ -147,7 +147,7 @@
     }
 
     fn share_region(&self, view: &FleetView, one: &str, other: &str) -> bool {
-        let regions = self.path.locality.regions();
+        let regions = self.handler.locality.regions();
         let region =
             |id: &str| view.backend(id).map(|backend| regions.responsible_region(&backend.hall));
         !regions.is_multi_region() || region(one) == region(other)
@@ -156,7 +156,7 @@
     /// The servers of the same service that could take a replica: those of this region first, warm
     /// ones before cold ones and the idlest first.
     fn idle_servers(&self, now: Time, server: &Rc<str>, key: &AdapterKey) -> Vec<Rc<str>> {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let Some(backend) = view.backend(server) else { return Vec::new() };
         let holders = view.adapter_locations.holders(now, key);
         let mut idle: Vec<(bool, bool, u32, Rc<str>)> = view
@@ -164,13 +164,13 @@
             .filter(|other| other.model(&key.model).is_some())
             .filter(|other| !holders.iter().any(|(id, _)| *id == other.id))
             .filter(|other| !view.adapter_locations.is_refused(now, key, &other.id))
-            .filter(|other| !self.path.loads.is_hall_silent(&other.hall))
-            .map(|other| (self.path.loads.work(now, &other.id).requests, other))
+            .filter(|other| !self.handler.loads.is_hall_silent(&other.hall))
+            .map(|other| (self.handler.loads.work(now, &other.id).requests, other))
             .filter(|(load, other)| is_idle(other.slots, *load))
-            .filter(|(_, other)| (self.path.is_ordered)(&other.id))
+            .filter(|(_, other)| (self.handler.is_ordered)(&other.id))
             .map(|(load, other)| {
-                let far = self.path.locality.is_remote(&other.hall);
-                (far, self.path.loads.is_cold(now, &other.id), load, other.id.clone())
+                let far = self.handler.locality.is_remote(&other.hall);
+                (far, self.handler.loads.is_cold(now, &other.id), load, other.id.clone())
             })
             .collect();
         idle.sort();
--- a/crates/portrack/src/gateway/selection/placing.rs
+++ b/crates/portrack/src/gateway/selection/placing.rs
@@ -5,14 +5,14 @@
 use super::demand::LoadRequest;
 use super::load_target::{LoadTarget, choose_load_target};
 use crate::gateway::dialect::AdapterKey;
-use crate::gateway::dispatch::SlotNeed;
+use crate::gateway::dispatch::SlotRequirements;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::config::Route;
 use crate::gateway::fleet::versions::{UsableVersions, VersionChoice};
 use crate::gateway::fleet::view::{FIRST_VERSION, FleetView};
 use crate::gateway::requests::caller::{RefusalReason, Refused};
+use crate::gateway::requests::handler::RequestHandler;
 use crate::gateway::requests::job::{Choice, Job};
-use crate::gateway::requests::path::RequestPath;
 use crate::types::Time;
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 /// What this daemon found out by itself outweighs the list for this long.
 const FOUND_HOLDS: Duration = Duration::from_millis(700);
 
-impl RequestPath {
+impl RequestHandler {
     /// A server for the next try.
     pub(in crate::gateway) async fn choose(&self, job: &Job<'_>) -> Result<Choice, Refused> {
         self.look_for_allowed(job)?;
@@ -60,7 +60,7 @@
         let mut open = self.candidates(&view, job);
         if let Some(slot) = slot {
             let granted = open.find(|backend| backend.incarnation_hash() == slot.server);
-            if let Some(backend) = granted.filter(|backend| !job.is_passed_over(&backend.id)) {
+            if let Some(backend) = granted.filter(|backend| !job.is_excluded(&backend.id)) {
                 let backend = backend.clone();
                 return Ok(Choice {
                     backend,
@@ -73,15 +73,15 @@
         self.best(job, self.candidates(&view, job)).ok_or_else(|| self.none_left(job))
     }
 
-    fn slot_need(&self, job: &Job<'_>) -> SlotNeed {
+    fn slot_need(&self, job: &Job<'_>) -> SlotRequirements {
         let now = self.clock.now();
         let objective = job.route.objective;
         let left = objective.saturating_sub(now.since(job.request.arrived));
         // An answer that is late already is still worth a little.
         let left = left.max(objective.mul_f64(LATE_WAIT_SHARE)).min(job.deadline.since(now));
-        SlotNeed {
-            organisation: job.admitted.organisation.as_ref().map(|all| all.mark()),
-            left,
+        SlotRequirements {
+            organisation: job.admitted.organisation.as_ref().map(|all| all.name_hash()),
+            time_left: left,
             tried: self.barred(job),
         }
     }
@@ -100,7 +100,7 @@
         open: impl Iterator<Item = &'a Rc<Backend>>,
     ) -> Option<Choice> {
         let now = self.clock.now();
-        let open = open.filter(|backend| !job.full.borrow().contains(&backend.id));
+        let open = open.filter(|backend| !job.servers_at_limit.borrow().contains(&backend.id));
         let backend = match self.loads_are_delayed.get() {
             true => {
                 let id = &job.request.meta.id;
@@ -116,7 +116,7 @@
         // After a failed try the caller's patience counts from what it heard last, about now.
         let heard_last = if job.sends == 0 { arrived } else { self.clock.now() };
         // A request that found no room within its server's limit looks for a sign anew: it could not know that before.
-        let is_first = job.sends == 0 && job.full.borrow().is_empty();
+        let is_first = job.sends == 0 && job.servers_at_limit.borrow().is_empty();
         let since = if is_first { arrived } else { self.clock.now() };
         let sign_by = since + job.route.objective.mul_f64(SIGN_SHARE);
         let in_time = arrived + job.route.objective.saturating_sub(FIRST_EVENT);
@@ -152,7 +152,7 @@
             if now >= until {
                 return Err(not_loaded(NOT_LOADED_RETRY));
             }
-            let changed = self.changed.notified();
+            let changed = self.view_changed.notified();
             let _ = actix_rt::time::timeout(until.since(now), changed).await;
         }
     }
@@ -169,7 +169,7 @@
     /// Wishes for an adapter at its home, if some daemon may order a server for it.
     fn wish(&self, job: &Job<'_>, key: &AdapterKey, at: Where) {
         let wanted = Wanted { service: &job.service.name, key, requests: 0, at };
-        let full = job.full.borrow();
+        let full = job.servers_at_limit.borrow();
         self.wish_among(wanted, |backend| {
             self.may_serve(job, backend) && !full.contains(&backend.id)
         });
@@ -305,7 +305,7 @@
             let open = takes(&view, now, backend) && !cut && self.may_serve(job, backend);
             let cost = cost(now, &self.loads, &self.locality, backend);
             let holder = Holder { backend: backend.clone(), cost, version };
-            (open && !job.is_passed_over(&backend.id)).then_some(holder)
+            (open && !job.is_excluded(&backend.id)).then_some(holder)
         });
         let mut sorted: Vec<Holder> = untried.collect();
         sorted.sort_by(|a, b| a.cost.total_cmp(&b.cost));
--- a/crates/portrack/src/gateway/store_sync/catching_up.rs
+++ b/crates/portrack/src/gateway/store_sync/catching_up.rs
@@ -90,7 +90,7 @@
                 let alone = |peer: &SocketAddr| self.course.borrow().is_left_alone(now, *peer);
                 asked.extend(informed.filter(|peer| !alone(peer)));
             }
-            let patience = match self.path.view.borrow().config() {
+            let patience = match self.handler.view.borrow().config() {
                 Some(_) => self.news_bounds().patience(),
                 None => CATCH_UP,
             };
@@ -127,7 +127,7 @@
         );
         self.apply(changes, SOURCE_PEER);
         if let Some(age) = reply.proof_age_ms {
-            self.path.proof.renew_from(asked_at, Duration::from_millis(age.into()));
+            self.handler.proof.renew_from_peer(asked_at, Duration::from_millis(age.into()));
         }
     }
 
@@ -191,7 +191,7 @@
                     let mirror = self.mirror.borrow();
                     let after = StorePosition::new(era, after);
                     let MirrorUpdate { position, whole, items, step } = mirror.news_after(after);
-                    let proof_age_ms = self.path.proof.age_to_tell(self.now());
+                    let proof_age_ms = self.handler.proof.age_for_peer(self.now());
                     let StorePosition { era, revision } = position;
                     let kept = mirror.kept_items();
                     CatchUpReply { revision, proof_age_ms, whole, items, era, kept, step }
--- a/crates/portrack/src/gateway/store_sync/following.rs
+++ b/crates/portrack/src/gateway/store_sync/following.rs
@@ -80,7 +80,8 @@
     /// From whom to learn now.
     pub(in crate::gateway) fn news_source(&self) -> SyncSource {
         let around = self.surroundings();
-        let source = self.course.borrow_mut().decide(self.now(), &around, self.path.proof.moment());
+        let source =
+            self.course.borrow_mut().decide(self.now(), &around, self.handler.proof.proven_at());
         self.note_watching(false);
         source
     }
@@ -109,7 +110,7 @@
         SyncReport {
             address: self.settings.members,
             incarnation: self.incarnation.number(),
-            age_ms: self.path.proof.age_to_tell(self.now()),
+            age_ms: self.handler.proof.age_for_peer(self.now()),
             standing: self.course.borrow().standing(),
         }
     }
@@ -208,7 +209,7 @@
     /// Takes a frame in; `None` if its sender took this daemon to know something else.
     fn take_frame(self: &Rc<Self>, source: SocketAddr, frame: FeedFrame) -> Option<()> {
         let now = self.now();
-        self.path.loads.record_reports(now, &frame.loads);
+        self.handler.loads.record_reports(now, &frame.loads);
         if !frame.notices.is_empty() {
             self.on_notices(&frame.notices);
         }
@@ -229,7 +230,7 @@
         self.apply(changes, "feed");
         if let Some(Freshness { question, age_ms, incarnation }) = frame.freshness {
             let age = Duration::from_millis(age_ms.into());
-            self.path.proof.renew_from(question.sent_at, age);
+            self.handler.proof.renew_from_peer(question.sent_at, age);
             let (age_ms, standing) = (Some(age_ms), SyncState::Watches);
             let told = SyncReport { address: source, incarnation, age_ms, standing };
             self.course.borrow_mut().redirected(now, question.sent_at, &[told]);
@@ -273,7 +274,7 @@
             let now = self.now();
             let (notices, loads) = self.feed.after(&mut place);
             let unchanged = self.mirror.borrow().position() <= told;
-            let proof = self.path.proof.moment();
+            let proof = self.handler.proof.proven_at();
             let silent = notices.is_empty() && loads.is_empty() && unchanged && proof == told_proof;
             let bounds = self.news_bounds();
             let frame_every = FRAME_EVERY.min(bounds.answer());
@@ -323,7 +324,7 @@
     /// How old this daemon's proof was when it had a question. The follower counts from its sending,
     /// so that nothing is added for the time that the question lay here.
     fn freshness(&self, heard: HeardQuestion) -> Option<Freshness> {
-        let age_ms = self.path.proof.age_to_tell(heard.heard_at)?;
+        let age_ms = self.handler.proof.age_for_peer(heard.heard_at)?;
         Some(Freshness { question: heard.question, age_ms, incarnation: self.incarnation.number() })
     }
 
--- a/crates/portrack/src/gateway/store_sync/returning.rs
+++ b/crates/portrack/src/gateway/store_sync/returning.rs
@@ -92,7 +92,7 @@
         self.update_era();
         let items: Vec<MirrorItem> = self.mirror.borrow().all().collect();
         let kept_items = self.mirror.borrow().kept_items();
-        self.path.quarantine.store_came_back(&items, &kept_items);
+        self.handler.quarantine.store_came_back(&items, &kept_items);
         self.records.replace(ClaimRecords::from_items(items.into_iter()));
         self.look_for_unseen_return();
         if before.era.is_known() {
--- a/crates/portrack/src/gateway/store_sync/staleness.rs
+++ b/crates/portrack/src/gateway/store_sync/staleness.rs
@@ -1,6 +1,6 @@
 //! How old news of the store may be, for those who act on it.
 
-use crate::gateway::requests::path::RequestPath;
+use crate::gateway::requests::handler::RequestHandler;
 use std::time::Duration;
 
 /// The age of what a daemon knows of the store.
@@ -32,7 +32,7 @@
     }
 }
 
-impl RequestPath {
+impl RequestHandler {
     /// How old what this daemon knows of the store may be.
     pub fn staleness(&self) -> Staleness {
         Staleness::of(self.proof.age(self.clock.now()))
--- a/crates/portrack/src/gateway/store_sync/sync.rs
+++ b/crates/portrack/src/gateway/store_sync/sync.rs
@@ -82,7 +82,7 @@
                 self.store_answered(prefix);
                 let had_old_news = !self.staleness().is_within(bounds.calm());
                 // Not the time of the answer: that may have been on its way for long.
-                self.path.proof.renew(asked_at);
+                self.handler.proof.renew(asked_at);
                 self.course.borrow_mut().store_answered();
                 self.note_watching(had_old_news);
                 watch.after = Some(position);
@@ -132,15 +132,15 @@
 
     /// Peers that provably know more of the store than this daemon.
     pub(super) fn who_knows_more(&self, some: usize) -> Vec<SocketAddr> {
-        let (around, known_at) = (self.surroundings(), self.path.proof.moment());
+        let (around, known_at) = (self.surroundings(), self.handler.proof.proven_at());
         self.course.borrow().know_more(self.now(), &around, known_at, some)
     }
 
     /// How old proof may be, where callers show keys that must be proved.
     fn proof_bound(&self) -> Option<Duration> {
-        let view = self.path.view.borrow();
+        let view = self.handler.view.borrow();
         let organisations = view.config()?.organisations.as_ref();
-        organisations.and(self.path.key_rules.keyed)
+        organisations.and(self.handler.key_rules.keyed)
     }
 
     /// Keys that must be proved make news urgent, too.
@@ -271,7 +271,7 @@
         self.count_news_age();
         let age = self.proof_age_ms();
         self.metrics.proof_age_ms.set(age);
-        let lost = self.proof_bound().is_some() && !self.path.believes_keys();
+        let lost = self.proof_bound().is_some() && !self.handler.accepts_keys();
         if lost != self.proof_lost.replace(lost) {
             match lost {
                 true => log::warn!(proof_age_ms = age; "proof_lost"),
--- a/crates/portrack/tests/gateway/answers.rs
+++ b/crates/portrack/tests/gateway/answers.rs
@@ -3,8 +3,8 @@
 use actix_http::header::HeaderMap;
 use bytes::{Bytes, BytesMut};
 use portrack::gateway::{
-    AnswerHead, AnswerMeta, BodyDecoder, Dialect, DialectError, EventSplitter, ForwardMeta,
-    Framing, Item, ItemKey, Order, OrderAnswer, RequestMeta, ServerReport, Step, take_head,
+    BodyDecoder, DecodeStep, Dialect, DialectError, EventSplitter, ForwardMeta, Framing, Item,
+    ItemKey, Order, OrderAnswer, RequestMeta, ResponseHead, ResponseMeta, ServerReport, parse_head,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         false
     }
     fn write_forward(&self, _: &ForwardMeta<'_>, _: &mut Vec<u8>) {}
-    fn answer_header(&self, name: &str, value: &str, meta: &mut AnswerMeta) {
+    fn response_header(&self, name: &str, value: &str, meta: &mut ResponseMeta) {
         if name == "id" {
             meta.request_id = Some(value.to_owned());
         }
@@ -63,12 +63,12 @@
     }
 }
 
-fn head(text: &str) -> AnswerHead {
-    take_head(&Plain, &mut BytesMut::from(text)).expect("an answer").expect("whole")
+fn head(text: &str) -> ResponseHead {
+    parse_head(&Plain, &mut BytesMut::from(text)).expect("an answer").expect("whole")
 }
 
 fn refused(text: &str) -> bool {
-    take_head(&Plain, &mut BytesMut::from(text)).is_err()
+    parse_head(&Plain, &mut BytesMut::from(text)).is_err()
 }
 
 #[test]
@@ -115,9 +115,9 @@
         buffer.extend_from_slice(piece);
         loop {
             match decoder.step(&mut buffer).map_err(|error| error.to_string())? {
-                Step::Part(part) => body.extend_from_slice(&part),
-                Step::End => return Ok((body, true)),
-                Step::More => break,
+                DecodeStep::Part(part) => body.extend_from_slice(&part),
+                DecodeStep::End => return Ok((body, true)),
+                DecodeStep::More => break,
             }
         }
     }
@@ -157,17 +157,17 @@
         let text = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 5\r\n\r\n";
         let cut = cut.min(text.len());
         let mut buffer = BytesMut::from(&text[..cut]);
-        let first = take_head(&Plain, &mut buffer).expect("no error");
+        let first = parse_head(&Plain, &mut buffer).expect("no error");
         prop_assert_eq!(first.is_some(), cut == text.len());
         if first.is_none() {
             buffer.extend_from_slice(&text.as_bytes()[cut..]);
-            prop_assert!(take_head(&Plain, &mut buffer).expect("no error").is_some());
+            prop_assert!(parse_head(&Plain, &mut buffer).expect("no error").is_some());
         }
     }
 
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = take_head(&Plain, &mut BytesMut::from(&bytes[..]));
+        let _ = parse_head(&Plain, &mut BytesMut::from(&bytes[..]));
         let _ = decode(Framing::Chunked, &[&bytes]);
     }
 
--- a/crates/portrack/tests/gateway/arrivals.rs
+++ b/crates/portrack/tests/gateway/arrivals.rs
@@ -4,7 +4,7 @@
 use portrack::Time;
 use portrack::gateway::{
     CallId, ColdBound, ColdRule, ColdStart, FallbackShares, GrantAnswer, GrantEnd, GrantReply,
-    GrantRequest, Granter, OrganisationMark, PrefillRate, ServerRule, choose_evicted,
+    GrantRequest, Granter, OrganisationHash, PrefillRate, ServerRule, choose_evicted,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -23,7 +23,7 @@
     GrantRequest {
         ask: number,
         server: 1,
-        organisation: Some(OrganisationMark(1)),
+        organisation: Some(OrganisationHash(1)),
         tokens,
         priority: 1,
         left_ms: 700,
@@ -140,7 +140,7 @@
 
 #[test]
 fn the_last_of_the_organisation_with_most_waiting_makes_way() {
-    let mark = |organisation| Some(OrganisationMark(organisation));
+    let mark = |organisation| Some(OrganisationHash(organisation));
     let waiting = [(mark(1), 5), (mark(2), 9), (mark(1), 7), (mark(1), 6), (mark(2), 1)];
     assert_eq!(choose_evicted(&waiting), 2);
     assert_eq!(choose_evicted(&[(mark(1), 5), (mark(2), 4)]), 1, "the newest, if none has several");
@@ -218,7 +218,7 @@
             }
             number += 1;
             let tokens = (200.0 + 800.0 * -random.random::<f64>().max(0.01).ln()) as u32;
-            let organisation = OrganisationMark(organisation);
+            let organisation = OrganisationHash(organisation);
             let ask = GrantRequest { organisation: Some(organisation), ..ask(number, tokens) };
             *played.asked.entry(organisation.0).or_default() += 1;
             asks.insert(number, (now, ask.clone()));
--- a/crates/portrack/tests/gateway/dispatch.rs
+++ b/crates/portrack/tests/gateway/dispatch.rs
@@ -2,7 +2,7 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    CallId, Dispatcher, OrganisationMark, ServerSlots, SlotAnswer, SlotAsk, SlotEnd, SlotOrder,
+    CallId, Dispatcher, OrganisationHash, ServerSlots, SlotAnswer, SlotEnd, SlotReply, SlotRequest,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,9 +15,9 @@
     ([10, 0, 0, node], 7_000).into()
 }
 
-fn ask(number: u32, organisation: u64, left_ms: u32) -> SlotAsk {
-    let organisation = Some(OrganisationMark(organisation));
-    SlotAsk { ask: number, service: 1, organisation, left_ms, tried: Vec::new() }
+fn ask(number: u32, organisation: u64, left_ms: u32) -> SlotRequest {
+    let organisation = Some(OrganisationHash(organisation));
+    SlotRequest { ask: number, service: 1, organisation, left_ms, tried: Vec::new() }
 }
 
 fn id(number: u32) -> CallId {
@@ -40,7 +40,7 @@
     dispatcher
 }
 
-fn granted(orders: &[SlotOrder]) -> Vec<u32> {
+fn granted(orders: &[SlotReply]) -> Vec<u32> {
     let granted = orders.iter().filter_map(|(_, answer)| match answer {
         SlotAnswer::Granted(server) => Some(*server),
         SlotAnswer::Waits | SlotAnswer::Refused(_) => None,
@@ -101,8 +101,8 @@
 fn a_wait_that_has_become_too_long_ends_in_time() {
     let mut dispatcher = full();
     dispatcher.ask(Time(0), from(1), ask(2, 1, 300));
-    assert_eq!(dispatcher.pass_time(Time(150)), []);
-    let ended = dispatcher.pass_time(Time(301));
+    assert_eq!(dispatcher.tick(Time(150)), []);
+    let ended = dispatcher.tick(Time(301));
     assert!(matches!(ended[..], [(_, SlotAnswer::Refused(_))]), "{ended:?}");
 }
 
@@ -141,7 +141,7 @@
 fn a_slot_whose_end_is_never_told_and_a_question_that_comes_twice_cost_nothing() {
     let mut dispatcher = full();
     assert_eq!(dispatcher.ask(Time(1), from(1), ask(1, 1, 300)), [], "told twice");
-    dispatcher.pass_time(Time(3_000));
+    dispatcher.tick(Time(3_000));
     for number in 2..4 {
         assert_eq!(granted(&dispatcher.ask(Time(3_001), from(1), ask(number, 1, 300))), [0]);
     }
@@ -197,11 +197,11 @@
     for now in 0..20_000_u64 {
         let (over, running): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(end, _)| *end <= now);
         ends = running;
-        let mut orders: Vec<SlotOrder> = Vec::new();
+        let mut orders: Vec<SlotReply> = Vec::new();
         for (_, id) in over {
             orders.extend(dispatcher.ended(Time(now), id, SlotEnd::Answered));
         }
-        orders.extend(dispatcher.pass_time(Time(now)));
+        orders.extend(dispatcher.tick(Time(now)));
         for (organisation, per_second) in [(0, 450.0), (1 + now % OTHERS, 150.0)] {
             if random.random::<f64>() < per_second / 1_000.0 {
                 number += 1;
--- a/crates/portrack/tests/gateway/evacuation.rs
+++ b/crates/portrack/tests/gateway/evacuation.rs
@@ -8,8 +8,8 @@
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
 use portrack::gateway::{
-    EvacuatedHalls, LoadRequestAnswer, Mirror, MirrorChange, MirrorItem, Planner, ServerReport,
-    StoreProof,
+    EvacuatedHalls, FreshnessProof, LoadRequestAnswer, Mirror, MirrorChange, MirrorItem, Planner,
+    ServerReport,
 };
 use portrack::store::StoreEra;
 use proptest::prelude::*;
@@ -84,7 +84,7 @@
 #[derive(Default)]
 struct Daemon {
     mirror: Mirror,
-    proof: StoreProof,
+    proof: FreshnessProof,
     halls: EvacuatedHalls,
 }
 
@@ -166,14 +166,14 @@
 #[test]
 fn a_hall_closes_by_the_age_of_the_evidence_and_not_by_its_arrival() {
     let hall: Rc<str> = "a".into();
-    let dated = |proof: &StoreProof| {
+    let dated = |proof: &FreshnessProof| {
         let mut halls = EvacuatedHalls::default();
         assert!(halls.evacuate(&hall));
         assert!(!halls.is_closing(Time(0), &hall), "nothing is known of its age");
         halls.date(&hall, Time(20_000), proof, WITHIN);
         halls
     };
-    let proof = StoreProof::default();
+    let proof = FreshnessProof::default();
     assert!(!dated(&proof).is_closing(Time(20_000), &hall), "a daemon that has just started");
     proof.renew(Time(18_500));
     let mut halls = dated(&proof);
--- a/crates/portrack/tests/gateway/former.rs
+++ b/crates/portrack/tests/gateway/former.rs
@@ -3,7 +3,7 @@
 
 use portrack::gateway::{
     Capabilities, ClaimRecord, EraReport, EraTracker, GrantMessage, GrantRequest, Heartbeat,
-    LimitReport, OrganisationMark, OutstandingWork, PeerMessage, RateLimit, RecordEras, SyncReport,
+    LimitReport, OrganisationHash, OutstandingWork, PeerMessage, RateLimit, RecordEras, SyncReport,
     SyncState, decode_message, encode_message,
 };
 use portrack::store::StoreEra;
@@ -90,7 +90,7 @@
     GrantRequest {
         ask: 42,
         server: 0xff00_0001,
-        organisation: Some(OrganisationMark(9)),
+        organisation: Some(OrganisationHash(9)),
         tokens: 1_400,
         priority: 2,
         left_ms: 700,
--- a/crates/portrack/tests/gateway/keys.rs
+++ b/crates/portrack/tests/gateway/keys.rs
@@ -3,8 +3,8 @@
 use crate::support::ms;
 use portrack::Time;
 use portrack::gateway::{
-    Credential, FleetConfig, KeyDigest, KeyRules, Organisation, Organisations, RefusalReason,
-    RevokedKeys, Route, RouteKind, StoreProof, organisation_of,
+    Credential, FleetConfig, FreshnessProof, KeyDigest, KeyFreshnessRules, Organisation,
+    Organisations, RefusalReason, RevokedKeys, Route, RouteKind, authenticate,
 };
 use proptest::prelude::*;
 use std::rc::Rc;
@@ -47,23 +47,22 @@
 struct World {
     config: FleetConfig,
     revoked: RevokedKeys,
-    proof: StoreProof,
+    proof: FreshnessProof,
 }
 
 impl World {
     fn new() -> Self {
         let organisations = Some(organisations(&[("north", "key-n"), ("south", "key-s")]));
         let config = FleetConfig { version: 1, organisations, ..FleetConfig::default() };
-        let proof = StoreProof::default();
+        let proof = FreshnessProof::default();
         proof.renew(Time(1_000));
         Self { config, revoked: RevokedKeys::default(), proof }
     }
 
     fn ask(&self, now: u64, public: bool, shown: Credential) -> Result<String, RefusalReason> {
-        let rules = KeyRules::new(Some(ms(REVOKED_WITHIN_MS)), ms(IN_FORCE_WITHIN_MS));
+        let rules = KeyFreshnessRules::new(Some(ms(REVOKED_WITHIN_MS)), ms(IN_FORCE_WITHIN_MS));
         let (config, revoked, proof) = (&self.config, &self.revoked, &self.proof);
-        let asked =
-            organisation_of(Time(now), config, &route(public), shown, revoked, &rules, proof);
+        let asked = authenticate(Time(now), config, &route(public), shown, revoked, &rules, proof);
         let name = |organisation: Rc<Organisation>| organisation.name.to_string();
         asked
             .map(|admitted| admitted.organisation.map(name).unwrap_or_default())
@@ -82,7 +81,7 @@
     assert_eq!(world.ask(1_100, false, shown("key-s")), Ok("south".into()));
     assert_eq!(world.ask(1_100, false, shown("key-x")), Err(RefusalReason::UnknownKey));
     assert_eq!(world.ask(1_100, false, Credential::Missing), Err(RefusalReason::MissingKey));
-    assert_eq!(world.ask(1_100, false, Credential::Doubled), Err(RefusalReason::DoubledKey));
+    assert_eq!(world.ask(1_100, false, Credential::Multiple), Err(RefusalReason::MultipleKeys));
     assert_eq!(world.ask(1_100, false, Credential::Malformed), Err(RefusalReason::MalformedKey));
 }
 
@@ -122,19 +121,19 @@
 fn a_key_that_was_taken_away_is_told_from_one_that_never_was() {
     let mut world = World::new();
     let after = organisations(&[("north", "key-n")]);
-    world.revoked.note(world.config.organisations.as_ref(), Some(&after));
+    world.revoked.update(world.config.organisations.as_ref(), Some(&after));
     world.config.organisations = Some(after);
     assert_eq!(world.ask(1_100, false, shown("key-s")), Err(RefusalReason::RevokedKey));
     assert_eq!(world.ask(1_100, false, shown("key-x")), Err(RefusalReason::UnknownKey));
     let again = organisations(&[("south", "key-s")]);
-    world.revoked.note(world.config.organisations.as_ref(), Some(&again));
+    world.revoked.update(world.config.organisations.as_ref(), Some(&again));
     world.config.organisations = Some(again);
     assert_eq!(world.ask(1_100, false, shown("key-s")), Ok("south".into()));
 }
 
 #[test]
 fn a_daemon_that_starts_has_no_proof() {
-    let world = World { proof: StoreProof::default(), ..World::new() };
+    let world = World { proof: FreshnessProof::default(), ..World::new() };
     assert_eq!(world.ask(0, false, shown("key-n")), Err(RefusalReason::NoProof));
 }
 
@@ -142,8 +141,8 @@
 /// served keys by a peer that had lost the store long before.
 #[test]
 fn proof_may_be_older_than_the_daemon_that_learns_of_it() {
-    let world = World { proof: StoreProof::default(), ..World::new() };
-    world.proof.renew_from(Time(50), ms(5_000));
+    let world = World { proof: FreshnessProof::default(), ..World::new() };
+    world.proof.renew_from_peer(Time(50), ms(5_000));
     assert_eq!(world.proof.age(Time(60)), Some(ms(5_010)));
     assert_eq!(world.ask(60, false, shown("key-n")), Err(RefusalReason::NoProof));
 }
@@ -172,17 +171,17 @@
     ) {
         let store_asked_at = 50_000_u64;
         let mut world_time = store_asked_at;
-        let mut before = StoreProof::default();
+        let mut before = FreshnessProof::default();
         before.renew(Time(store_asked_at + clocks[0]));
         for (n, (asks_before, answered_after, arrives_after)) in delays.into_iter().enumerate() {
             let (clock, other) = (clocks[n + 1], clocks[n]);
             // The question may leave before the proof that answers it was there.
             let asked_at = (world_time + answered_after).saturating_sub(asks_before);
             let answered_at = world_time + answered_after;
-            let age = before.age_to_tell(Time(answered_at + other)).expect("there is proof");
+            let age = before.age_for_peer(Time(answered_at + other)).expect("there is proof");
             let arrived_at = answered_at.max(asked_at) + arrives_after;
-            let proof = StoreProof::default();
-            proof.renew_from(Time(asked_at + clock), ms(age.into()));
+            let proof = FreshnessProof::default();
+            proof.renew_from_peer(Time(asked_at + clock), ms(age.into()));
             let believed = proof.age(Time(arrived_at + clock)).expect("there is proof");
             prop_assert!(believed >= ms(arrived_at - store_asked_at));
             (before, world_time) = (proof, arrived_at);
--- a/crates/portrack/tests/gateway/news_fleet.rs
+++ b/crates/portrack/tests/gateway/news_fleet.rs
@@ -3,7 +3,7 @@
 
 use portrack::Time;
 use portrack::gateway::{
-    Distance, PeerTopology, SourceFailure, SourceSelector, StoreProof, SyncReport, SyncSource,
+    Distance, FreshnessProof, PeerTopology, SourceFailure, SourceSelector, SyncReport, SyncSource,
     SyncTimings,
 };
 use rand::rngs::SmallRng;
@@ -82,7 +82,7 @@
     part_since: u64,
     open_since: u64,
     course: SourceSelector,
-    proof: StoreProof,
+    proof: FreshnessProof,
     /// Up to when it really knows everything.
     knows: u64,
     doing: Doing,
@@ -140,7 +140,7 @@
             part_since: 0,
             open_since: 0,
             course: SourceSelector::new(address(n), bounds),
-            proof: StoreProof::default(),
+            proof: FreshnessProof::default(),
             knows: 0,
             doing: Doing::Nothing { until: 0 },
             replies: Vec::new(),
@@ -204,7 +204,7 @@
         held.life += 1;
         (held.born, held.up_since) = (now, now);
         held.course = SourceSelector::new(address(node), bounds);
-        held.proof = StoreProof::default();
+        held.proof = FreshnessProof::default();
         held.knows = 0;
         held.doing = Doing::Nothing { until: now };
         held.replies.clear();
@@ -264,7 +264,7 @@
         SyncReport {
             address: address(node),
             incarnation: held.life,
-            age_ms: held.proof.age_to_tell(self.local(node)),
+            age_ms: held.proof.age_for_peer(self.local(node)),
             standing: held.course.standing(),
         }
     }
@@ -278,7 +278,7 @@
         let (around, local) = (self.around(node), self.local(node));
         let watched = self.nodes[node].course.watches();
         let held = &mut self.nodes[node];
-        let source = held.course.decide(local, &around, held.proof.moment());
+        let source = held.course.decide(local, &around, held.proof.proven_at());
         self.note_watching(node, watched, false);
         source
     }
@@ -417,7 +417,7 @@
         let late = is_old && now >= asked_at + wait + millis(self.bounds.silent());
         let around = self.around(node);
         let held = &mut self.nodes[node];
-        let known_at = held.proof.moment();
+        let known_at = held.proof.proven_at();
         let outrun = late && !held.course.know_more(local, &around, known_at, 1).is_empty();
         if refused || outrun || now >= asked_at + wait + STORE_PATIENCE {
             held.course.store_failed(local, Time(asked_at.saturating_sub(held.born)));
@@ -478,7 +478,7 @@
 
     fn take_frame(&mut self, node: usize, feed: &mut Feed) {
         let now = self.now;
-        let proof = self.nodes[feed.source].proof.moment();
+        let proof = self.nodes[feed.source].proof.proven_at();
         let waited = now - feed.frame_at;
         let every = 100.min(millis(self.bounds.answer()));
         let due = waited >= millis(self.bounds.question());
@@ -488,7 +488,7 @@
         }
         (feed.frame_at, feed.told) = (now, proof);
         let heard_at = Time(feed.question + STEP - self.nodes[feed.source].born.min(feed.question));
-        let age = self.nodes[feed.source].proof.age_to_tell(heard_at);
+        let age = self.nodes[feed.source].proof.age_for_peer(heard_at);
         let knows = self.nodes[feed.source].knows;
         let reports = [SyncReport { age_ms: age, ..self.own_sync_report(feed.source) }];
         let local = self.local(node);
@@ -496,7 +496,7 @@
         let asked = Time(feed.question - held.born);
         let Some(age) = age else { return };
         held.knows = held.knows.max(knows);
-        held.proof.renew_from(asked, Duration::from_millis(age.into()));
+        held.proof.renew_from_peer(asked, Duration::from_millis(age.into()));
         held.course.redirected(local, asked, &reports);
     }
 
@@ -517,7 +517,7 @@
                 Some(Some(age)) => {
                     let asked = Time(reply.asked_at - held.born);
                     held.knows = held.knows.max(reply.knows);
-                    held.proof.renew_from(asked, Duration::from_millis(age.into()));
+                    held.proof.renew_from_peer(asked, Duration::from_millis(age.into()));
                 }
             }
         }
@@ -527,10 +527,10 @@
             return;
         }
         let around = self.around(node);
-        let asked = held.course.know_more(local, &around, held.proof.moment(), 3);
+        let asked = held.course.know_more(local, &around, held.proof.proven_at(), 3);
         for from in asked.into_iter().map(node_of) {
             let answers = self.nodes[from].up && self.linked(node, from);
-            let age = answers.then(|| self.nodes[from].proof.age_to_tell(self.local(from)));
+            let age = answers.then(|| self.nodes[from].proof.age_for_peer(self.local(from)));
             let at = now + if answers { STEP } else { millis(self.bounds.patience()) };
             let knows = self.nodes[from].knows;
             self.nodes[node].replies.push(Reply { at, from, asked_at: now, age, knows });
@@ -546,7 +546,7 @@
     /// where the claim holds.
     pub fn false_claim(&self, node: usize) -> u64 {
         let held = &self.nodes[node];
-        let Some(moment) = held.proof.moment() else { return 0 };
+        let Some(moment) = held.proof.proven_at() else { return 0 };
         let claimed = moment + held.born as i64;
         u64::try_from(claimed - held.knows as i64).unwrap_or(0)
     }
--- a/crates/portrack/tests/gateway/regions.rs
+++ b/crates/portrack/tests/gateway/regions.rs
@@ -1,11 +1,11 @@
-//! Halls of several regions: choice, homes, dispatchers, heartbeats, and where a request may be served.
+//! Halls of several regions: choice, homes, dispatchers_for, heartbeats, and where a request may be served.
 
 use crate::support::{backend, key};
 use portrack::Time;
 use portrack::gateway::{
     AllowedRegions, Backend, Capabilities, DaemonInfo, Daemons, EraReport, Heartbeat, LoadTable,
     LoadTarget, Locality, OutstandingGuard, Peers, RegionConstraints, Regions, ScoredServer,
-    better_of_two, cheaper_of_two, cheapest, choose_load_target, dispatchers, silent_regions,
+    better_of_two, cheaper_of_two, cheapest, choose_load_target, dispatchers_for, silent_regions,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -182,13 +182,16 @@
 fn each_region_has_a_dispatcher_and_the_own_one_is_asked_first_without_a_way() {
     for duty in 0..20 {
         let asked =
-            dispatchers(duty, &locality(), &daemons(), &halls(&["s1", "n2", "n3"]), |_| true);
+            dispatchers_for(duty, &locality(), &daemons(), &halls(&["s1", "n2", "n3"]), |_| true);
         assert_eq!(asked.len(), 2);
-        assert_eq!((region_of(asked[0].dispatcher), asked[0].way), ("north", Duration::ZERO));
+        assert_eq!(
+            (region_of(asked[0].dispatcher), asked[0].extra_round_trip),
+            ("north", Duration::ZERO)
+        );
         assert_eq!(region_of(asked[1].dispatcher), "south");
-        assert!(asked[1].way > Duration::ZERO);
+        assert!(asked[1].extra_round_trip > Duration::ZERO);
         let from_south = Locality::new("s2", regions_of(&HALLS, "s2"));
-        let other = dispatchers(duty, &from_south, &daemons(), &halls(&["n2", "s1"]), |_| true);
+        let other = dispatchers_for(duty, &from_south, &daemons(), &halls(&["n2", "s1"]), |_| true);
         assert_eq!(other[0].dispatcher, asked[1].dispatcher, "everybody knows the same ones");
         assert_eq!(other[1].dispatcher, asked[0].dispatcher);
     }
@@ -196,14 +199,14 @@
 
 #[test]
 fn a_region_without_servers_or_daemons_is_not_asked() {
-    let only_far = dispatchers(1, &locality(), &daemons(), &halls(&["s1"]), |_| true);
+    let only_far = dispatchers_for(1, &locality(), &daemons(), &halls(&["s1"]), |_| true);
     assert_eq!(
-        only_far.iter().map(|whom| region_of(whom.dispatcher)).collect::<Vec<_>>(),
+        only_far.iter().map(|route| region_of(route.dispatcher)).collect::<Vec<_>>(),
         ["south"]
     );
     let cut = |daemon: &DaemonInfo| daemon.hall.starts_with('n');
-    assert_eq!(dispatchers(1, &locality(), &daemons(), &halls(&["n1", "s1"]), cut).len(), 1);
-    assert!(dispatchers(1, &locality(), &daemons(), &[], |_| true).is_empty());
+    assert_eq!(dispatchers_for(1, &locality(), &daemons(), &halls(&["n1", "s1"]), cut).len(), 1);
+    assert!(dispatchers_for(1, &locality(), &daemons(), &[], |_| true).is_empty());
 }
 
 #[test]
@@ -214,9 +217,9 @@
         let locality = Locality::new("n1", regions);
         let daemons = Daemons::new(all.clone());
         let asked =
-            dispatchers(5, &locality, &daemons, &halls(&["n1", "n2", "elsewhere"]), |_| true);
+            dispatchers_for(5, &locality, &daemons, &halls(&["n1", "n2", "elsewhere"]), |_| true);
         assert_eq!(
-            asked.iter().map(|whom| whom.dispatcher).collect::<Vec<_>>(),
+            asked.iter().map(|route| route.dispatcher).collect::<Vec<_>>(),
             daemons.first(5, |_| true).into_iter().collect::<Vec<_>>()
         );
     }
@@ -229,7 +232,7 @@
     let south = regions_of(&HALLS, "s1");
     assert_eq!(north.responsible_region("new"), south.responsible_region("new"));
     assert_eq!(north.responsible_region("s2").as_ref(), "south");
-    assert_eq!(dispatchers(1, &locality(), &daemons(), &halls(&["new"]), |_| true).len(), 1);
+    assert_eq!(dispatchers_for(1, &locality(), &daemons(), &halls(&["new"]), |_| true).len(), 1);
 }
 
 fn address(last: u8) -> SocketAddr {
