--- a/crates/portrack/tests/gateway/retries.rs
+++ b/crates/portrack/tests/gateway/retries.rs
@@ -2,16 +2,16 @@
 
 use crate::support::ms;
 use portrack::Time;
-use portrack::gateway::{RetryBounds, ServiceRetries};
+use portrack::gateway::{RetryBounds, RetryBudgets};
 use std::rc::Rc;
 
 const WINDOW_MS: u64 = 10_000;
 
-fn retries() -> ServiceRetries {
-    ServiceRetries::new(RetryBounds { ratio: 0.2, slack: 50.0, window: ms(WINDOW_MS) })
+fn retries() -> RetryBudgets {
+    RetryBudgets::new(RetryBounds { ratio: 0.2, slack: 50.0, window: ms(WINDOW_MS) })
 }
 
-fn taken(retries: &mut ServiceRetries, now: u64, service: &Rc<str>, daemons: usize) -> usize {
+fn taken(retries: &mut RetryBudgets, now: u64, service: &Rc<str>, daemons: usize) -> usize {
     (0..1_000).filter(|_| retries.take(Time(now), service, daemons)).count()
 }
 
