--- a/crates/portrack/src/gateway/cold/mod.rs
+++ b/crates/portrack/src/gateway/cold/mod.rs
@@ -1,6 +1,7 @@
-//! Cold servers are spared while they are slow.
+//! Sends fewer requests to servers that have just started and are still slow.
 //!
-//! In come which servers may be cold; out goes what one costs a request besides its load. It is chosen as
-//! much less than a warm one as it bears less, and is no better home for being idle.
+//! The input is which servers may be cold; the output is the cost of a request at such a server in
+//! addition to its load. A cold server is selected less often, in proportion to its lower
+//! throughput, and being idle does not make it a better target for loads.
 
 pub(in crate::gateway) mod server;
--- a/crates/portrack/src/gateway/cold/server.rs
+++ b/crates/portrack/src/gateway/cold/server.rs
@@ -1,41 +1,43 @@
-//! What a cold server costs a request.
+//! The cost of a request at a cold server.
 
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::view::FleetView;
 use crate::types::Time;
 
-/// What a cold server costs, in requests waiting, so that of two that are as idle the warm one is taken.
-const COLD: f64 = 4.0;
+/// Fixed cost of a cold server, in queued requests, so that of two equally idle servers the warm
+/// one is selected.
+const COLD_PENALTY: f64 = 4.0;
 
-/// A server that is slow from its start.
+/// A server that is slow after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdServer {
-    /// It has to be taken for cold until then.
+    /// When the server is assumed to be warm.
     pub until: Time,
-    /// How many times more a request weighs there than at a warm one.
+    /// The weight of a request there relative to a warm server.
     pub weight: f64,
 }
 
 impl ColdServer {
-    /// A cold server that takes so many requests at once when warm, and bears so many a second now.
+    /// Creates a cold server that handles `slots` concurrent requests when warm and `per_second`
+    /// requests a second while cold.
     pub fn new(until: Time, slots: usize, per_second: f64) -> Self {
         let weight = slots as f64 / per_second.max(1.0);
         Self { until, weight: weight.max(1.0) }
     }
 
-    /// What a request costs there besides its load of so many requests.
+    /// Returns the additional cost of a request at a server with this many requests.
     pub fn cost(&self, now: Time, requests: u32) -> f64 {
         match now < self.until {
-            true => COLD + f64::from(requests) * (self.weight - 1.0),
+            true => COLD_PENALTY + f64::from(requests) * (self.weight - 1.0),
             false => 0.0,
         }
     }
 }
 
 impl GatewayDaemon {
-    /// Takes in anew which servers have to be taken for cold.
-    pub(in crate::gateway) fn look_at_cold(&self, now: Time) {
+    /// Updates which servers are assumed to be cold.
+    pub(in crate::gateway) fn update_cold_servers(&self, now: Time) {
         let view = self.handler.view.borrow();
         let cold = view.backends().filter_map(|backend| {
             Some((backend.id.clone(), self.cold_server(now, &view, backend)?))
@@ -43,7 +45,7 @@
         self.handler.loads.set_cold(cold.collect());
     }
 
-    /// A server as a cold one, if it has to be taken for that.
+    /// Returns the cold state of a server; `None` if it is assumed to be warm.
     pub(in crate::gateway) fn cold_server(
         &self,
         now: Time,
--- a/crates/portrack/src/gateway/evacuation/copying.rs
+++ b/crates/portrack/src/gateway/evacuation/copying.rs
@@ -1,4 +1,4 @@
-//! Has adapters that only an evacuated data hall holds copied elsewhere, hottest first.
+//! Has adapters that only an evacuated data hall holds loaded elsewhere, most used first.
 
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::dialect::AdapterKey;
@@ -7,24 +7,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between looks at what is to be copied: a few times in the two seconds or so of leaving, since a
-/// wish may be refused or lost.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// An adapter with fewer requests a second is loaded when it is asked for: most of the store's fetches
-/// and of the places elsewhere would go to what nobody misses.
-const LEAST_PACE: f64 = 0.05;
+/// Interval between checks: several within the roughly two seconds until a hall closes, since a
+/// load request may be refused or lost.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Adapters with fewer requests a second are not copied but loaded on demand. Otherwise most
+/// fetches from the weight store and most adapter slots elsewhere would go to adapters that are
+/// hardly used.
+const MIN_REQUEST_RATE: f64 = 0.05;
 
 impl GatewayDaemon {
-    /// Sees to evacuated halls, for ever.
+    /// Task that handles evacuated halls.
     pub(in crate::gateway) async fn run_evacuations(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(LOOK_EVERY).await;
+            actix_rt::time::sleep(CHECK_INTERVAL).await;
             let now = self.now();
-            self.look_at_evacuated(now);
-            self.look_at_cold(now);
-            for (service, key, pace) in self.held_only_in_closing_halls(now) {
-                // At least one, or it would come after what nobody uses.
-                let requests = (pace.round() as u16).max(1);
+            self.update_evacuated(now);
+            self.update_cold_servers(now);
+            for (service, key, rate) in self.held_only_in_closing_halls(now) {
+                // With 0, it would rank behind adapters that are not used at all.
+                let requests = (rate.round() as u16).max(1);
                 if self.handler.request_load(&service, &key, requests) {
                     self.metrics.evacuation_copies.inc();
                 }
@@ -32,8 +33,8 @@
         }
     }
 
-    /// The adapters in use that only servers of halls which are being left hold, the hottest first, of
-    /// the servers that this daemon orders.
+    /// Returns the adapters in use that only servers of closing halls hold, most used first, at the
+    /// servers that this daemon orders.
     fn held_only_in_closing_halls(&self, now: Time) -> Vec<(Rc<str>, AdapterKey, f64)> {
         let view = self.handler.view.borrow();
         if view.evacuated.all().next().is_none() {
@@ -42,19 +43,19 @@
         let ordered = self.order_executor.claims.borrow().orderable(now);
         let planner = self.order_executor.planner.borrow();
         let backends = ordered.iter().filter_map(|id| view.backend(id));
-        let leaving = backends.filter(|backend| view.is_closing(now, backend));
-        let held = leaving.flat_map(|backend| {
-            let paces = planner.request_rates(now, &backend.id).into_iter();
-            paces.map(|(key, pace)| (backend.service.clone(), key, pace))
+        let closing = backends.filter(|backend| view.is_closing(now, backend));
+        let held = closing.flat_map(|backend| {
+            let rates = planner.request_rates(now, &backend.id).into_iter();
+            rates.map(|(key, rate)| (backend.service.clone(), key, rate))
         });
-        let used = held.filter(|(_, _, pace)| *pace >= LEAST_PACE);
+        let used = held.filter(|(_, _, rate)| *rate >= MIN_REQUEST_RATE);
         let mut missing: Vec<_> =
             used.filter(|(_, key, _)| !self.is_held_elsewhere(now, &view, key)).collect();
         missing.sort_by(|(_, _, a), (_, _, b)| b.total_cmp(a));
         missing
     }
 
-    /// True if a server that takes new work and can be reached holds an adapter.
+    /// Returns true if a reachable server that accepts new work holds the adapter.
     fn is_held_elsewhere(&self, now: Time, view: &FleetView, key: &AdapterKey) -> bool {
         let holders = view.adapter_locations.holders(now, key).into_iter();
         let mut holders = holders.filter_map(|(id, _)| view.backend(&id));
--- a/crates/portrack/src/gateway/evacuation/halls.rs
+++ b/crates/portrack/src/gateway/evacuation/halls.rs
@@ -1,4 +1,4 @@
-//! Which data halls are evacuated, and until when their servers may still be sent to.
+//! Tracks which data halls are evacuated and until when requests may still be sent there.
 
 use crate::gateway::admission::FreshnessProof;
 use crate::types::Time;
@@ -6,20 +6,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Of the time within which a hall gets nothing any more, counted from the last moment at which the store
-/// did not say so, this share may pass until it is closed. The rest is for a store whose watches hear
-/// nothing for a second, for the way, and for the time in which a request waits for its server to read it.
-const CLOSED_SHARE: f64 = 0.6;
+/// Share of the evacuation bound after which a hall closes, counted from the last moment at which
+/// the store did not report the evacuation. The rest covers a store whose watches are silent for a
+/// second, transit, and the time until a server reads a queued request.
+const CLOSE_AFTER_SHARE: f64 = 0.6;
 
-/// One evacuated hall.
+/// An evacuated hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evacuation {
-    /// When this daemon learned of it.
+    /// When this daemon learned of the evacuation.
     pub learned_at: Time,
-    /// From then on nothing is sent there.
+    /// From this time on, nothing is sent there.
     pub closes_at: Time,
-    /// That it is closed was told.
-    closing_told: bool,
+    /// Whether the closing was reported by `newly_closed`.
+    closing_reported: bool,
 }
 
 /// The evacuated halls.
@@ -29,57 +29,65 @@
 }
 
 impl EvacuatedHalls {
-    /// Takes in that a hall is evacuated; true if that is news. Nobody knows yet how long ago it was, so
-    /// the hall is closed at once.
+    /// Marks a hall as evacuated; returns true if it was not. The hall is closed at once, as the
+    /// age of the evacuation is not known yet.
     pub fn evacuate(&mut self, hall: &Rc<str>) -> bool {
         if self.halls.contains_key(hall) {
             return false;
         }
         let at = Time::default();
-        let closed = Evacuation { learned_at: at, closes_at: at, closing_told: false };
+        let closed = Evacuation { learned_at: at, closes_at: at, closing_reported: false };
         self.halls.insert(hall.clone(), closed);
         true
     }
 
-    /// Takes in how old the news of a hall can be that has just come: the `proof` held before it is of a
-    /// moment at which the store did not say so yet. Nothing may arrive `within` this time of its word.
-    pub fn date(&mut self, hall: &str, now: Time, proof: &FreshnessProof, within: Duration) {
+    /// Sets the closing time of a hall that was just marked as evacuated. The `proof` held before
+    /// shows a moment at which the store did not report the evacuation yet. Nothing may arrive
+    /// later than `within` after the store's acknowledgement.
+    pub fn set_closing_time(
+        &mut self,
+        hall: &str,
+        now: Time,
+        proof: &FreshnessProof,
+        within: Duration,
+    ) {
         let Some(evacuation) = self.halls.get_mut(hall) else { return };
-        let span = within.mul_f64(CLOSED_SHARE);
+        let span = within.mul_f64(CLOSE_AFTER_SHARE);
         let left = proof.age(now).map_or(Duration::ZERO, |age| span.saturating_sub(age));
         evacuation.learned_at = now;
         evacuation.closes_at = now + left;
     }
 
-    /// Takes in that a hall is not evacuated any more.
+    /// Marks a hall as no longer evacuated.
     pub fn reinstate(&mut self, hall: &str) -> Option<Evacuation> {
         self.halls.remove(hall)
     }
 
-    /// True if a hall is evacuated.
+    /// Returns true if a hall is evacuated.
     pub fn has(&self, hall: &str) -> bool {
         self.halls.contains_key(hall)
     }
 
-    /// True if a hall is evacuated and may still be sent what only its servers can serve.
+    /// Returns true if a hall is evacuated but may still get requests that only its servers can
+    /// serve.
     pub fn is_closing(&self, now: Time, hall: &str) -> bool {
         self.halls.get(hall).is_some_and(|evacuation| now < evacuation.closes_at)
     }
 
-    /// The evacuated halls.
+    /// Iterates over the evacuated halls.
     pub fn all(&self) -> impl Iterator<Item = (&Rc<str>, &Evacuation)> {
         self.halls.iter()
     }
 
-    /// The halls that have closed since this was last asked.
+    /// Returns the halls that have closed since the last call.
     pub fn newly_closed(&mut self, now: Time) -> Vec<(Rc<str>, Evacuation)> {
         let is_due =
-            |evacuation: &Evacuation| !evacuation.closing_told && now >= evacuation.closes_at;
+            |evacuation: &Evacuation| !evacuation.closing_reported && now >= evacuation.closes_at;
         let due = self.halls.iter_mut().filter(|(_, evacuation)| is_due(evacuation));
-        let told = due.map(|(hall, evacuation)| {
-            evacuation.closing_told = true;
+        let closed = due.map(|(hall, evacuation)| {
+            evacuation.closing_reported = true;
             (hall.clone(), *evacuation)
         });
-        told.collect()
+        closed.collect()
     }
 }
--- a/crates/portrack/src/gateway/evacuation/mod.rs
+++ b/crates/portrack/src/gateway/evacuation/mod.rs
@@ -1,8 +1,10 @@
-//! Data halls that operators have evacuated: their servers get nothing new until they are taken back.
+//! Evacuation of data halls: the servers of a hall that operators have evacuated get no new work
+//! until the hall is reinstated.
 //!
-//! In come the store's keys with the age of the evidence; out go whether a server may get a request, and
-//! wishes for copies elsewhere of what only such servers hold. Nothing is sent to a hall later than the
-//! bound after the store's acknowledgement, nothing new is loaded there, and what runs there is left alone.
+//! Inputs are the store's keys and the age of the evidence; outputs are whether a server may get a
+//! request, and load requests elsewhere for adapters that only such servers hold. Nothing is sent
+//! to an evacuated hall later than the bound after the store has acknowledged the evacuation,
+//! nothing new is loaded there, and running requests are not interrupted.
 
 pub(in crate::gateway) mod changes;
 pub(in crate::gateway) mod copying;
--- a/crates/portrack/src/gateway/orders/adapter_demand.rs
+++ b/crates/portrack/src/gateway/orders/adapter_demand.rs
@@ -1,38 +1,38 @@
-//! How much an adapter is used at a server.
+//! Demand for one adapter at one server.
 
 use crate::gateway::selection::decay::DecayingSum;
 use crate::types::Time;
 use std::time::Duration;
 
-/// The rate of requests fades this fast; demand moves on within seconds.
-const RATE_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Half-life of the request rate; demand shifts between adapters within seconds.
+const RECENT_HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// The present pace of requests is taken over about this time: long enough for a few requests,
-/// short enough that replicas come while the first requests still run.
-const PACE_HALF_LIFE: Duration = Duration::from_millis(700);
+/// Half-life of the current requests per second: long enough to cover a few requests, short enough
+/// that replicas are added while the first requests still run.
+const CURRENT_HALF_LIFE: Duration = Duration::from_millis(700);
 
-/// Demand for one adapter.
+/// Decaying request counts of one adapter.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AdapterDemand {
-    rate: DecayingSum,
-    pace: DecayingSum,
+    recent: DecayingSum,
+    current: DecayingSum,
 }
 
 impl AdapterDemand {
     /// Counts requests.
     pub fn used(&mut self, now: Time, times: u16) {
-        self.rate.add(now, RATE_HALF_LIFE, f64::from(times));
-        self.pace.add(now, PACE_HALF_LIFE, f64::from(times));
+        self.recent.add(now, RECENT_HALF_LIFE, f64::from(times));
+        self.current.add(now, CURRENT_HALF_LIFE, f64::from(times));
     }
 
-    /// Requests a second at present.
+    /// Returns the current requests per second.
     pub fn per_second(&self, now: Time) -> f64 {
-        let window = PACE_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
-        self.pace.get(now, PACE_HALF_LIFE) / window
+        let window = CURRENT_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
+        self.current.get(now, CURRENT_HALF_LIFE) / window
     }
 
-    /// Requests of the last seconds, fading.
+    /// Returns the decayed number of recent requests.
     pub fn rate(&self, now: Time) -> f64 {
-        self.rate.get(now, RATE_HALF_LIFE)
+        self.recent.get(now, RECENT_HALF_LIFE)
     }
 }
--- a/crates/portrack/src/gateway/orders/claim_holders.rs
+++ b/crates/portrack/src/gateway/orders/claim_holders.rs
@@ -1,4 +1,4 @@
-//! Which other daemon orders a server.
+//! Looks up which other daemon holds the claim on a server.
 
 use super::claim_records::ClaimRecords;
 use crate::gateway::fleet::peers::Peers;
@@ -8,18 +8,19 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What heartbeats and the store say of who orders which server.
+/// The claims known from heartbeats and from the store.
 #[derive(Clone)]
 pub struct ClaimHolders {
     /// The other daemons.
     pub peers: Rc<RefCell<Peers>>,
-    /// The claims in the store.
+    /// The claim records in the store.
     pub records: Rc<RefCell<ClaimRecords>>,
 }
 
 impl ClaimHolders {
-    /// Where the daemon is that orders a server. Where all daemons hear each heartbeat, these are
-    /// fresher than the store's records; in larger fleets they come once in several seconds.
+    /// Returns the address of the daemon that orders a server. In a full mesh, heartbeats are
+    /// fresher than the store's records; in larger fleets a heartbeat of each daemon arrives only
+    /// every few seconds.
     pub fn address(&self, now: Time, server: &str) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         if peers.is_full_mesh() {
--- a/crates/portrack/src/gateway/orders/claim_record.rs
+++ b/crates/portrack/src/gateway/orders/claim_record.rs
@@ -1,71 +1,71 @@
-//! What the store holds of a server's orders.
+//! The records that the store holds of claims on servers.
 
 use crate::gateway::fleet::trailing_field::or_default;
 use crate::store::StoreEra;
 use serde::{Deserialize, Serialize};
 
-/// Before each server's id.
+/// Key prefix, followed by the server's id.
 const RECORD_PREFIX: &str = "portrack/orders/";
-/// Before each machine's name.
+/// Key prefix, followed by the machine's name.
 const LIVE_PREFIX: &str = "portrack/live/";
 
-/// A key of the store that concerns claims.
+/// A store key that belongs to claims.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimKey<'a> {
-    /// The record of this server.
+    /// The claim record of this server.
     Server(&'a str),
-    /// The sign of life of this machine.
+    /// The key that exists while this machine's lease is alive.
     Live(&'a str),
 }
 
 impl<'a> ClaimKey<'a> {
-    /// Reads a key; `None` if it does not concern claims.
+    /// Parses a key; `None` if it does not belong to claims.
     pub fn parse(key: &'a str) -> Option<Self> {
         let server = key.strip_prefix(RECORD_PREFIX).map(Self::Server);
         server.or_else(|| key.strip_prefix(LIVE_PREFIX).map(Self::Live))
     }
 }
 
-/// Which machine orders a server.
+/// The machine that holds the claim on a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The machine, by its daemon's name and address.
+    /// The machine, as its daemon's name and address.
     pub machine: String,
-    /// No orders of an earlier machine have to be waited for.
+    /// Whether no orders of an earlier machine have to be waited for.
     pub settled: bool,
-    /// The machine gave the server up after its last order.
+    /// Whether the machine released the server after its last order.
     pub resigned: bool,
-    /// Eras of the store; former builds do not write them.
+    /// Eras of the store; older versions do not write them.
     #[serde(deserialize_with = "or_default")]
     pub eras: RecordEras,
 }
 
-/// Eras of the store, as a record tells them.
+/// The store eras that a record names.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordEras {
-    /// In which the record was written.
+    /// The era in which the record was written.
     pub written: StoreEra,
-    /// The earliest one known then.
+    /// The earliest era known at that time.
     pub first: StoreEra,
 }
 
 impl ClaimRecord {
-    /// The key of a server's record.
+    /// Returns the key of a server's record.
     pub fn key(server: &str) -> String {
         format!("{RECORD_PREFIX}{server}")
     }
 
-    /// The key that is there while a machine's lease lives.
+    /// Returns the key that exists while a machine's lease is alive.
     pub fn live_key(machine: &str) -> String {
         format!("{LIVE_PREFIX}{machine}")
     }
 
-    /// The record as the store holds it.
+    /// Encodes the record for the store.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("a record can always be written")
     }
 
-    /// Reads a record; `None` for bytes that are none.
+    /// Decodes a record; `None` if the bytes are not one.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/portrack/src/gateway/orders/claim_records.rs
+++ b/crates/portrack/src/gateway/orders/claim_records.rs
@@ -1,5 +1,5 @@
-//! Which machine orders which server, as the store tells it. Read from the watch that every daemon
-//! follows anyway, so that nobody has to try a claim to learn that a server is taken.
+//! The claim records of all servers, read from the store watch that every daemon follows anyway, so
+//! that no daemon has to attempt a claim to learn that a server is taken.
 
 use super::claim_record::{ClaimKey, ClaimRecord, RecordEras};
 use crate::gateway::store_sync::mirror::{MirrorChange, MirrorItem};
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A record as it was last seen.
+/// A record as last seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeenRecord {
     /// The revision of its last change.
     pub revision: u64,
-    /// What it says.
+    /// The record.
     pub record: ClaimRecord,
 }
 
@@ -20,11 +20,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct ClaimRecords {
     records: BTreeMap<Rc<str>, SeenRecord>,
-    live: BTreeSet<String>,
+    live_machines: BTreeSet<String>,
 }
 
 impl ClaimRecords {
-    /// Everything that concerns claims among some items.
+    /// Builds the table from those items that belong to claims.
     pub fn from_items(items: impl Iterator<Item = MirrorItem>) -> Self {
         let mut records = Self::default();
         for MirrorItem { key, revision, value } in items {
@@ -35,17 +35,18 @@
         records
     }
 
-    /// The latest era in which a record was written, and the earliest that records tell of; none if none tells one.
+    /// Returns the latest era in which a record was written and the earliest era that records name;
+    /// both unknown if no record names one.
     pub fn eras(&self) -> RecordEras {
         let eras = self.records.values().map(|seen| seen.record.eras);
-        let told: Vec<RecordEras> = eras.filter(|eras| eras.written.is_known()).collect();
+        let known_eras: Vec<RecordEras> = eras.filter(|eras| eras.written.is_known()).collect();
         RecordEras {
-            written: told.iter().map(|eras| eras.written).max().unwrap_or_default(),
-            first: told.iter().map(|eras| eras.first).min().unwrap_or_default(),
+            written: known_eras.iter().map(|eras| eras.written).max().unwrap_or_default(),
+            first: known_eras.iter().map(|eras| eras.first).min().unwrap_or_default(),
         }
     }
 
-    /// Applies a change of the store if it concerns claims; false if it does not.
+    /// Applies a store change; returns false if it does not belong to claims.
     pub fn apply(&mut self, change: &MirrorChange) -> bool {
         let key = match change {
             MirrorChange::Put(held) => &held.key,
@@ -54,10 +55,10 @@
         match (ClaimKey::parse(key), change) {
             (None, _) => return false,
             (Some(ClaimKey::Live(machine)), MirrorChange::Put(_)) => {
-                self.live.insert(machine.to_owned());
+                self.live_machines.insert(machine.to_owned());
             }
             (Some(ClaimKey::Live(machine)), MirrorChange::Removed(_)) => {
-                self.live.remove(machine);
+                self.live_machines.remove(machine);
             }
             (Some(ClaimKey::Server(server)), MirrorChange::Put(held)) => {
                 let record = ClaimRecord::read(&held.value);
@@ -71,7 +72,7 @@
         true
     }
 
-    /// Records what a call found; a record older than the one known changes nothing.
+    /// Stores the record that a call returned. One older than the known record is ignored.
     pub fn observe(&mut self, server: &str, seen: Option<SeenRecord>) {
         let Some(seen) = seen else {
             self.records.remove(server);
@@ -83,15 +84,15 @@
         }
     }
 
-    /// A server's record.
+    /// Returns a server's record.
     pub fn record(&self, server: &str) -> Option<&SeenRecord> {
         self.records.get(server)
     }
 
-    /// The machine whose claim on a server stands: it has not resigned and its lease lives.
+    /// Returns the machine that holds a server: it has not resigned and its lease is alive.
     pub fn holder(&self, server: &str) -> Option<&str> {
         let record = &self.records.get(server)?.record;
-        let stands = !record.resigned && self.live.contains(&record.machine);
-        stands.then_some(record.machine.as_str())
+        let is_held = !record.resigned && self.live_machines.contains(&record.machine);
+        is_held.then_some(record.machine.as_str())
     }
 }
--- a/crates/portrack/src/gateway/orders/claiming.rs
+++ b/crates/portrack/src/gateway/orders/claiming.rs
@@ -1,4 +1,4 @@
-//! Takes, keeps and gives up the right to order servers.
+//! Claims servers, renews the lease and releases servers on shutdown.
 
 use super::claim_record::{ClaimKey, ClaimRecord, RecordEras};
 use super::claim_records::SeenRecord;
@@ -16,85 +16,85 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between looks at what is to be claimed.
-const LOOK: Duration = Duration::from_millis(200);
-/// Renewals in the time of one lease.
-const RENEWALS: u32 = 5;
-/// Between steps of the planner.
-const PLAN_EVERY: Duration = Duration::from_millis(40);
-/// Entries in one transaction.
-const ENTRIES: usize = 30;
-/// Servers in one transaction: each has a record that is expected, one that is written and, where
-/// it is taken over, a sign of life that must be gone.
-const SERVERS_A_TRANSACTION: usize = ENTRIES / 3;
-/// The next try for a lease after one that failed. In a fleet of 195 nodes of which a third cannot
-/// reach the store, tries each 200 ms were 300 refused calls a second.
-const LEASE_AGAIN: Duration = Duration::from_millis(1_000);
-/// A daemon that has just started leaves servers that nobody ordered alone for so long: in a small
-/// fleet all others are known by then.
-const KNOWS_FLEET_AFTER: Duration = Duration::from_millis(1_200);
-/// The same in a fleet that it sees to be large. Of 195 nodes that start together each knows some of
-/// the others by then; without it they made 6,031 refused claims in the 14 s before traffic.
-const KNOWS_LARGE_FLEET_AFTER: Duration = Duration::from_millis(3_000);
-/// There each daemon waits longer by a share of this, and reads meanwhile what those before it
-/// claimed. With all at once 134 of 195 nodes took a lease, and 480 transactions were refused.
-const FIRST_CLAIMS_SPREAD: Duration = Duration::from_millis(3_000);
-/// A holder has at least so many servers to order before a hall takes another one, so that a hall
-/// of 40 daemons and 16 servers has 4 leases to renew in place of 40.
-const SERVERS_A_HOLDER: usize = 4;
-/// Holders in a hall if it has the daemons: with 2, the loss of one left 30% of a small fleet's
-/// servers without an orderer for 10 s.
-const LEAST_HOLDERS: usize = 3;
-/// A machine heard within this is not taken for gone.
-const HEARD_WITHIN: Duration = Duration::from_millis(2_500);
+/// Interval between checks for servers to claim.
+const CLAIM_INTERVAL: Duration = Duration::from_millis(200);
+/// Renewals within the time to live of a lease.
+const RENEWALS_PER_TTL: u32 = 5;
+/// Interval between steps of the planner.
+const PLAN_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum number of entries in one transaction.
+const MAX_ENTRIES: usize = 30;
+/// Maximum number of servers in one transaction: each has an expected record, a written record and,
+/// for a takeover, a liveness key that must not exist.
+const MAX_SERVERS_PER_TRANSACTION: usize = MAX_ENTRIES / 3;
+/// Delay before another attempt to obtain a lease. In a fleet of 195 nodes of which a third cannot
+/// reach the store, attempts every 200 ms caused 300 refused calls a second.
+const LEASE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// After its start, a daemon leaves servers without a record alone for this long: in a small fleet,
+/// it knows all other daemons by then.
+const STARTUP_DELAY: Duration = Duration::from_millis(1_200);
+/// The same delay in a large fleet. Of 195 nodes that start together, each knows some of the others
+/// by then; without it they made 6,031 refused claims in the 14 s before traffic.
+const LARGE_FLEET_STARTUP_DELAY: Duration = Duration::from_millis(3_000);
+/// In a large fleet, each daemon adds a fraction of this and meanwhile reads what earlier ones
+/// claimed. Without it, 134 of 195 nodes took a lease and 480 transactions were refused.
+const STARTUP_SPREAD: Duration = Duration::from_millis(3_000);
+/// A hall gets another holder only if each has at least this many servers, so that a hall of 40
+/// daemons and 16 servers renews 4 leases instead of 40.
+const MIN_SERVERS_PER_HOLDER: usize = 4;
+/// Minimum number of holders in a hall that has the daemons. With 2, the loss of one left 30% of a
+/// small fleet's servers without a holder for 10 s.
+const MIN_HOLDERS: usize = 3;
+/// A machine heard from within this time is considered alive.
+const MACHINE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl GatewayDaemon {
-    /// This machine's name in claims; stays the same over restarts.
+    /// Returns this machine's name in claims, which is stable across restarts.
     fn machine(&self) -> String {
         format!("{}|{}", self.settings.node, self.settings.members)
     }
 
-    /// Claims servers that nobody orders, for ever.
+    /// Task that claims servers without a holder.
     pub async fn claim_servers(self: Rc<Self>) {
         while !self.stopping() {
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(CLAIM_INTERVAL).await;
             self.update_era();
             self.update_claim_era();
-            // Records that were read in a former era say nothing of the store.
+            // Records that were read in an earlier era say nothing about the current store.
             if self.mirror.borrow().era() != self.eras.borrow().era() {
                 continue;
             }
             let era = self.mirror.borrow().era();
-            let tries = self.tries();
+            let attempts = self.due_attempts();
             let holds_any = self.order_executor.claims.borrow().all().next().is_some();
-            if tries.is_empty() && !holds_any {
+            if attempts.is_empty() && !holds_any {
                 continue;
             }
-            if !self.has_lease().await {
-                actix_rt::time::sleep(LEASE_AGAIN).await;
+            if !self.ensure_lease().await {
+                actix_rt::time::sleep(LEASE_RETRY_DELAY).await;
                 continue;
             }
-            self.settle().await;
+            self.settle_claims().await;
             if self.store.era() != era {
                 continue;
             }
-            for chunk in tries.chunks(SERVERS_A_TRANSACTION) {
+            for chunk in attempts.chunks(MAX_SERVERS_PER_TRANSACTION) {
                 self.claim(chunk).await;
             }
         }
     }
 
-    /// Lets the planner go on, for ever.
+    /// Task that runs the planner.
     pub async fn plan_steps(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(PLAN_EVERY).await;
+            actix_rt::time::sleep(PLAN_INTERVAL).await;
             self.order_executor.start_due_steps(&self);
         }
     }
 
-    /// Renews the lease, for ever.
+    /// Task that renews the lease.
     pub async fn renew_lease(self: Rc<Self>) {
-        let every = self.order_executor.claims.borrow().ttl() / RENEWALS;
+        let every = self.order_executor.claims.borrow().ttl() / RENEWALS_PER_TTL;
         loop {
             actix_rt::time::sleep(every).await;
             let now = self.now();
@@ -106,15 +106,15 @@
     }
 
     async fn renew(self: Rc<Self>, lease: u64, sent_at: Time) {
-        let answer = self.store.renew_lease(lease).await;
-        // A lease of a former era is over, and its id may be another one's by now.
+        let reply = self.store.renew_lease(lease).await;
+        // A lease of an earlier era is over, and its id may have been reused.
         self.update_era();
-        match answer {
-            Ok(true) => self.order_executor.claims.borrow_mut().renewed(lease, sent_at),
+        match reply {
+            Ok(true) => self.order_executor.claims.borrow_mut().extend_lease(lease, sent_at),
             Ok(false) => {
                 let mut claims = self.order_executor.claims.borrow_mut();
                 if claims.lease(sent_at) == Some(lease) {
-                    claims.lapsed();
+                    claims.clear_lease();
                     log::warn!(lease = lease; "lease_lost");
                 }
             }
@@ -122,8 +122,9 @@
         }
     }
 
-    /// True once there is a living lease and the claims were confirmed under it.
-    async fn has_lease(&self) -> bool {
+    /// Makes sure that there is a live lease under which the claims were confirmed. Returns false
+    /// if there is none.
+    async fn ensure_lease(&self) -> bool {
         let asked_at = self.now();
         if self.order_executor.claims.borrow().lease(asked_at).is_some() {
             return true;
@@ -139,24 +140,25 @@
             let claims = self.order_executor.claims.borrow();
             claims.all().map(|(id, claim)| (id.clone(), *claim)).collect()
         };
-        for (server, claim) in claims.iter().take(ENTRIES) {
+        for (server, claim) in claims.iter().take(MAX_ENTRIES) {
             transaction.expected.push((ClaimRecord::key(server), claim.revision));
         }
         let value = self.incarnation.number().to_be_bytes().to_vec();
         transaction.puts.push((KvPut { key: live, value }, Some(lease)));
         match self.store.transact(&transaction).await {
-            // The lease and the revisions are those of a former era, which a store may not tell in its answer.
+            // The lease and the revisions belong to an earlier era; the store may not mention that
+            // in its reply.
             _ if self.store.era() != era => false,
             Ok(KvOutcome::Committed(_)) => {
-                for (server, _) in claims.iter().skip(ENTRIES) {
-                    self.order_executor.claims.borrow_mut().dropped(server);
+                for (server, _) in claims.iter().skip(MAX_ENTRIES) {
+                    self.order_executor.claims.borrow_mut().remove(server);
                 }
-                self.order_executor.claims.borrow_mut().leased(lease, asked_at);
+                self.order_executor.claims.borrow_mut().set_lease(lease, asked_at);
                 log::info!(lease = lease, claims = claims.len(); "lease_taken");
                 true
             }
             Ok(KvOutcome::Conflict(held)) => {
-                self.drop_changed(&claims, &held);
+                self.drop_changed_claims(&claims, &held);
                 let _ = self.store.revoke_lease(lease).await;
                 false
             }
@@ -168,18 +170,18 @@
     }
 
     /// Drops the claims whose records have changed.
-    fn drop_changed(&self, claims: &[(Rc<str>, Claim)], held: &[crate::store::KvEntry]) {
+    fn drop_changed_claims(&self, claims: &[(Rc<str>, Claim)], held: &[crate::store::KvEntry]) {
         for (server, claim) in claims {
             let key = ClaimRecord::key(server);
-            let now_at = held.iter().find(|held| held.key == key).map(|held| held.revision);
-            if now_at != Some(claim.revision) {
-                self.order_executor.claims.borrow_mut().dropped(server);
+            let current = held.iter().find(|held| held.key == key).map(|held| held.revision);
+            if current != Some(claim.revision) {
+                self.order_executor.claims.borrow_mut().remove(server);
                 log::warn!(server = &**server, fence = claim.fence; "claim_lost");
             }
         }
     }
 
-    fn tries(&self) -> Vec<ClaimAttempt> {
+    fn due_attempts(&self) -> Vec<ClaimAttempt> {
         let now = self.now();
         let view = self.handler.view.borrow();
         let peers = self.peers.borrow();
@@ -187,27 +189,27 @@
         let records = self.records.borrow();
         let engines = || view.backends().filter(|backend| is_engine(&view, backend));
         let machine = self.machine();
-        let vacant = engines().filter(|backend| {
+        let unclaimed = engines().filter(|backend| {
             let held = records.holder(&backend.id).is_some_and(|holder| holder != machine);
-            !backend.draining && !claims.has(&backend.id) && !held
+            !backend.draining && !claims.contains(&backend.id) && !held
         });
-        let vacant: Vec<Rc<str>> = vacant.map(|backend| backend.id.clone()).collect();
+        let unclaimed: Vec<Rc<str>> = unclaimed.map(|backend| backend.id.clone()).collect();
         let mut unclaimed_servers = self.unclaimed_servers.borrow_mut();
-        unclaimed_servers.update(now, &vacant);
-        if vacant.is_empty() {
+        unclaimed_servers.update(now, &unclaimed);
+        if unclaimed.is_empty() {
             return Vec::new();
         }
         let total = engines().count();
-        let holders = total.div_ceil(SERVERS_A_HOLDER).max(LEAST_HOLDERS * view.halls());
+        let holders = total.div_ceil(MIN_SERVERS_PER_HOLDER).max(MIN_HOLDERS * view.halls());
         let me = Claimant {
             name: &self.settings.node,
             machine: &machine,
             held: claims.all().count(),
             share: total.div_ceil(holders.min(peers.claimants(now).len() + 1)),
-            knows_fleet_from: self.knows_fleet_from(&peers),
+            claims_new_from: self.first_claims_from(&peers),
         };
         let mut by_hall: HashMap<Rc<str>, Candidates> = HashMap::new();
-        for backend in vacant.iter().filter_map(|id| view.backend(id)) {
+        for backend in unclaimed.iter().filter_map(|id| view.backend(id)) {
             by_hall.entry(backend.hall.clone()).or_insert_with(|| {
                 let in_hall = engines().filter(|other| other.hall == backend.hall).count();
                 self.candidates(&peers, now, &backend.hall, in_hall)
@@ -217,84 +219,84 @@
             let hall = view.backend(server).map(|backend| backend.hall.clone());
             hall.and_then(|hall| by_hall.get(&hall).cloned()).unwrap_or_default()
         };
-        let heard = |machine: &str| peers.heard_within(now, machine, HEARD_WITHIN);
+        let heard = |machine: &str| peers.heard_within(now, machine, MACHINE_TIMEOUT);
         unclaimed_servers.due(now, me, &records, candidates, heard)
     }
 
-    /// From when on this daemon claims servers that nobody ordered yet.
-    fn knows_fleet_from(&self, peers: &Peers) -> Time {
+    /// Returns the time from which this daemon claims servers without a record.
+    fn first_claims_from(&self, peers: &Peers) -> Time {
         if peers.is_full_mesh() {
-            return self.started_at + KNOWS_FLEET_AFTER;
+            return self.started_at + STARTUP_DELAY;
         }
-        let share = f64::from(server_hash(&self.settings.node)) / f64::from(u32::MAX);
-        self.started_at + KNOWS_LARGE_FLEET_AFTER + FIRST_CLAIMS_SPREAD.mul_f64(share)
+        let fraction = f64::from(server_hash(&self.settings.node)) / f64::from(u32::MAX);
+        self.started_at + LARGE_FLEET_STARTUP_DELAY + STARTUP_SPREAD.mul_f64(fraction)
     }
 
-    /// Who could claim the servers of a hall.
+    /// Returns the daemons that could claim the servers of a hall.
     fn candidates(&self, peers: &Peers, now: Time, hall: &str, servers: usize) -> Candidates {
         let (mut near, mut far) = peers.claimants_by_hall(now, hall);
         let list = if self.settings.hall == hall { &mut near } else { &mut far };
         list.push(self.settings.node.as_str().into());
         let near = peers.by_capacity(hall, near.iter().map(|name| &**name).collect());
         let near = near.into_iter().map(Rc::from).collect();
-        let holders = servers.div_ceil(SERVERS_A_HOLDER).max(LEAST_HOLDERS);
+        let holders = servers.div_ceil(MIN_SERVERS_PER_HOLDER).max(MIN_HOLDERS);
         Candidates { near, far, holders }
     }
 
-    /// Claims some servers in one transaction: all of them, or none if one record has changed.
-    async fn claim(&self, tries: &[ClaimAttempt]) {
-        let tries: &[ClaimAttempt] = &self.with_lost_claims(tries);
+    /// Claims servers in one transaction: all of them, or none if one record has changed.
+    async fn claim(&self, attempts: &[ClaimAttempt]) {
+        let attempts: &[ClaimAttempt] = &self.with_lost_claims(attempts);
         let mut transaction = KvTransaction::default();
-        for attempt in tries {
-            let live = attempt.gone.as_deref().map(ClaimRecord::live_key);
+        for attempt in attempts {
+            let live = attempt.expired_machine.as_deref().map(ClaimRecord::live_key);
             if let Some(live) = live.filter(|live| !expects(&transaction, live)) {
                 transaction.expected.push((live, 0));
             }
-            let settled = attempt.before == Predecessor::None;
+            let settled = attempt.predecessor == Predecessor::None;
             let record = self.own_record(settled, false);
             replace_record(&mut transaction, &attempt.server, attempt.revision, &record);
         }
         match self.store.transact(&transaction).await {
             Ok(KvOutcome::Committed(fence)) => {
-                for attempt in tries {
-                    self.claimed(attempt, fence);
+                for attempt in attempts {
+                    self.record_claim(attempt, fence);
                 }
             }
-            Ok(KvOutcome::Conflict(held)) => self.claim_refused(tries, &held),
+            Ok(KvOutcome::Conflict(held)) => self.on_claim_conflict(attempts, &held),
             Ok(KvOutcome::NoLease) | Err(KvError::Unavailable) => {}
-            Err(KvError::Unknown) => self.look_up(tries).await,
+            Err(KvError::Unknown) => self.read_records(attempts).await,
         }
     }
 
-    /// The same tries, with what may have been lost with the store's newest part.
-    fn with_lost_claims(&self, tries: &[ClaimAttempt]) -> Vec<ClaimAttempt> {
+    /// Adjusts the predecessor of each attempt for records that the store may have lost.
+    fn with_lost_claims(&self, attempts: &[ClaimAttempt]) -> Vec<ClaimAttempt> {
         let (now, claims) = (self.now(), self.order_executor.claims.borrow());
-        let before =
-            |attempt: &ClaimAttempt| claims.predecessor(now, &attempt.server, attempt.before);
-        tries
+        let predecessor =
+            |attempt: &ClaimAttempt| claims.predecessor(now, &attempt.server, attempt.predecessor);
+        attempts
             .iter()
-            .map(|attempt| ClaimAttempt { before: before(attempt), ..attempt.clone() })
+            .map(|attempt| ClaimAttempt { predecessor: predecessor(attempt), ..attempt.clone() })
             .collect()
     }
 
-    /// A record that names this machine.
+    /// Builds a record that names this machine.
     fn own_record(&self, settled: bool, resigned: bool) -> ClaimRecord {
         let eras = self.eras.borrow();
         let eras = RecordEras { written: eras.era(), first: eras.first() };
         ClaimRecord { machine: self.machine(), settled, resigned, eras }
     }
 
-    fn claimed(&self, attempt: &ClaimAttempt, revision: u64) {
+    fn record_claim(&self, attempt: &ClaimAttempt, revision: u64) {
         let now = self.now();
         let mut claims = self.order_executor.claims.borrow_mut();
-        claims.claimed(now, &attempt.server, revision, attempt.before);
+        claims.add(now, &attempt.server, revision, attempt.predecessor);
         drop(claims);
-        self.order_executor.claimed(&attempt.server);
-        log::info!(server = &*attempt.server, record = revision, before:? = attempt.before; "server_claimed");
+        self.order_executor.on_claimed(&attempt.server);
+        log::info!(server = &*attempt.server, record = revision, before:? = attempt.predecessor; "server_claimed");
     }
 
-    /// Drops this daemon's claim if a newer record names another machine: a write from before the store came back
-    /// may be carried out after it.
+    /// Drops this daemon's claim if a newer record names another machine: a write sent before the
+    /// store was restored may take effect afterwards.
     pub(in crate::gateway) fn note_claim(&self, change: &MirrorChange) {
         let MirrorChange::Put(held) = change else { return };
         let Some(ClaimKey::Server(server)) = ClaimKey::parse(&held.key) else { return };
@@ -302,37 +304,37 @@
         if holder.is_none_or(|holder| holder == self.machine()) {
             return;
         }
-        if self.order_executor.claims.borrow_mut().overtaken(server, held.revision) {
+        if self.order_executor.claims.borrow_mut().remove_superseded(server, held.revision) {
             log::warn!(server = server, record = held.revision; "claim_overtaken");
         }
     }
 
-    fn claim_refused(&self, tries: &[ClaimAttempt], held: &[KvEntry]) {
-        for attempt in tries {
+    fn on_claim_conflict(&self, attempts: &[ClaimAttempt], held: &[KvEntry]) {
+        for attempt in attempts {
             let key = ClaimRecord::key(&attempt.server);
-            let live = attempt.gone.as_deref().map(ClaimRecord::live_key);
+            let live = attempt.expired_machine.as_deref().map(ClaimRecord::live_key);
             let alive = held.iter().any(|held| Some(&held.key) == live.as_ref());
             let record = held.iter().find(|held| held.key == key);
             let revision = record.map_or(0, |record| record.revision);
             log::info!(
                 server = &*attempt.server, record = revision,
-                holder = attempt.gone.as_deref().unwrap_or_default(), holder_alive = alive;
+                holder = attempt.expired_machine.as_deref().unwrap_or_default(), holder_alive = alive;
                 "claim_refused"
             );
-            self.observe(&attempt.server, record);
+            self.observe_record(&attempt.server, record);
         }
     }
 
-    /// Reads the records of a transaction that may have been carried out.
-    async fn look_up(&self, tries: &[ClaimAttempt]) {
-        for attempt in tries {
+    /// Reads the records of a transaction whose result is unknown.
+    async fn read_records(&self, attempts: &[ClaimAttempt]) {
+        for attempt in attempts {
             if let Ok(held) = self.store.get(&ClaimRecord::key(&attempt.server)).await {
-                self.observe(&attempt.server, held.as_ref());
+                self.observe_record(&attempt.server, held.as_ref());
             }
         }
     }
 
-    fn observe(&self, server: &str, held: Option<&KvEntry>) {
+    fn observe_record(&self, server: &str, held: Option<&KvEntry>) {
         let seen = held.and_then(|held| {
             let record = ClaimRecord::read(&held.value)?;
             Some(SeenRecord { revision: held.revision, record })
@@ -340,15 +342,15 @@
         self.records.borrow_mut().observe(server, seen);
     }
 
-    /// Writes down that nobody else's orders have to be waited for any more.
-    async fn settle(&self) {
+    /// Marks claims as settled in the store once no other daemon's orders have to be waited for.
+    async fn settle_claims(&self) {
         let now = self.now();
         let due: Vec<(Rc<str>, u64)> = {
             let claims = self.order_executor.claims.borrow();
-            let unsettled = claims.all().filter(|(_, c)| !c.settled && now >= c.orders_from);
+            let unsettled = claims.all().filter(|(_, c)| !c.settled && now >= c.may_order_from);
             unsettled.map(|(id, claim)| (id.clone(), claim.revision)).collect()
         };
-        for chunk in due.chunks(SERVERS_A_TRANSACTION) {
+        for chunk in due.chunks(MAX_SERVERS_PER_TRANSACTION) {
             let mut transaction = KvTransaction::default();
             for (server, revision) in chunk {
                 let record = self.own_record(true, false);
@@ -357,7 +359,7 @@
             match self.store.transact(&transaction).await {
                 Ok(KvOutcome::Committed(revision)) => {
                     let mut claims = self.order_executor.claims.borrow_mut();
-                    chunk.iter().for_each(|(server, _)| claims.settled(server, revision));
+                    chunk.iter().for_each(|(server, _)| claims.mark_settled(server, revision));
                 }
                 Ok(KvOutcome::Conflict(_) | KvOutcome::NoLease) | Err(_) => {
                     log::warn!(servers = chunk.len(); "claims_not_settled");
@@ -366,16 +368,16 @@
         }
     }
 
-    /// Drops the claim of a server that is gone, and its record.
+    /// Drops the claim on a removed server and deletes its record.
     pub fn drop_claim(self: &Rc<Self>, server: &Rc<str>) {
-        let Some(claim) = self.order_executor.claims.borrow_mut().dropped(server) else { return };
+        let Some(claim) = self.order_executor.claims.borrow_mut().remove(server) else { return };
         let (daemon, key) = (self.clone(), ClaimRecord::key(server));
         actix_rt::spawn(async move {
             let _ = daemon.store.remove(&key, claim.revision).await;
         });
     }
 
-    /// Gives all servers up at the end of a stop, so that a successor need not wait for the lease.
+    /// Releases all servers on shutdown, so that successors need not wait for the lease to expire.
     pub async fn resign(&self) {
         self.update_era();
         let now = self.now();
@@ -385,16 +387,16 @@
             claims.all().map(|(id, claim)| (id.clone(), *claim)).collect()
         };
         let mut transaction = KvTransaction::default();
-        for (server, claim) in claims.iter().take(ENTRIES / 2) {
-            self.order_executor.claims.borrow_mut().dropped(server);
+        for (server, claim) in claims.iter().take(MAX_ENTRIES / 2) {
+            self.order_executor.claims.borrow_mut().remove(server);
             let settled = claim.settled;
             let record = self.own_record(settled, true);
             replace_record(&mut transaction, server, claim.revision, &record);
         }
         self.beat();
         if !transaction.puts.is_empty() {
-            let given_up = self.store.transact(&transaction).await.is_ok();
-            log::info!(servers = claims.len(), written = given_up; "servers_given_up");
+            let written = self.store.transact(&transaction).await.is_ok();
+            log::info!(servers = claims.len(), written = written; "servers_given_up");
         }
         if let Some(lease) = lease {
             let _ = self.store.revoke_lease(lease).await;
@@ -402,7 +404,7 @@
     }
 }
 
-/// Adds that a server's record, last changed at `revision`, is replaced.
+/// Adds the replacement of a server's record, last changed at `revision`.
 fn replace_record(
     transaction: &mut KvTransaction,
     server: &str,
@@ -418,7 +420,7 @@
     transaction.expected.iter().any(|(expected, _)| expected == key)
 }
 
-/// True if a server's service has models.
+/// Returns true if a server's service has models.
 fn is_engine(view: &FleetView, backend: &Backend) -> bool {
     view.service(&backend.service).is_some_and(|service| service.engine.is_some())
 }
--- a/crates/portrack/src/gateway/orders/claims.rs
+++ b/crates/portrack/src/gateway/orders/claims.rs
@@ -1,8 +1,8 @@
-//! The right to order servers: one daemon a server at a time, by records in the store that hang on
-//! the daemon's lease.
+//! The right to send orders: one daemon per server at a time, by records in the store that are tied
+//! to the daemon's lease.
 //!
-//! Servers check no fences, so the time checks here are what keeps two daemons from ordering the
-//! same server.
+//! Servers do not check fences, so only the time checks in this module keep two daemons from
+//! ordering the same server.
 
 use super::claim_record::ClaimRecord;
 use crate::types::Time;
@@ -10,16 +10,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Orders stop this long before the lease can have lapsed.
-const STOP_BEFORE: Duration = Duration::from_millis(250);
-/// Added to a successor's wait, for orders on their way.
-const ORDER_TRAVEL: Duration = Duration::from_millis(200);
+/// Orders stop this long before the lease can have expired.
+const LEASE_MARGIN: Duration = Duration::from_millis(250);
+/// Added to a successor's wait for orders still in transit.
+const ORDER_TRANSIT: Duration = Duration::from_millis(200);
 
-/// The lease that all claims hang on.
+/// The lease that all claims depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Lease {
     id: u64,
-    /// When the last renewal was sent that was answered.
+    /// When the last successful renewal was sent.
     renewed_at: Time,
 }
 
@@ -28,40 +28,40 @@
 pub struct Claim {
     /// The revision of the record.
     pub revision: u64,
-    /// The fence of orders: the revision, counted on over eras of the store.
+    /// The fence of orders: the revision, made to increase across eras of the store.
     pub fence: u64,
-    /// The predecessor's last order is old enough from here on.
-    pub orders_from: Time,
-    /// The record says that nobody else's orders have to be waited for.
+    /// From this time on, the predecessor's last order is old enough.
+    pub may_order_from: Time,
+    /// Whether the record says that no other daemon's orders have to be waited for.
     pub settled: bool,
 }
 
-/// A claim of a former era. Nobody else can have ordered the server since.
+/// A claim of an earlier era of the store. No other daemon can have ordered the server since.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FormerClaim {
-    orders_from: Time,
-    /// The end of the lease that it hung on.
+    may_order_from: Time,
+    /// When the lease of that claim ends.
     until: Time,
 }
 
-/// Who held a server before.
+/// The previous holder of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Predecessor {
-    /// Nobody, or this very machine: nothing has to be waited for.
+    /// No previous holder, or this machine itself: no wait is needed.
     None,
-    /// It gave the server up by itself after its last order.
+    /// It released the server after its last order.
     Resigned,
-    /// Its lease was found gone; it may not know yet.
+    /// Its lease has expired, which it may not have noticed.
     Lapsed,
 }
 
 impl Predecessor {
-    /// Who held a server before `machine`, as its record tells.
+    /// Determines from a server's record who held it before `machine`.
     ///
-    /// A record that is not settled says that a machine before the one it names may still order,
-    /// whoever it names and also if that one has resigned: with a wait for the resigned machine
-    /// only, two daemons ordered a server within 950 ms where 1 s is the least (random histories of
-    /// three daemons, one of which is paused while its lease is lost and another one stops).
+    /// An unsettled record says that a machine before the named one may still send orders,
+    /// whichever machine it names and even if that one has resigned. Waiting only for the resigned
+    /// machine let two daemons order a server 950 ms apart where 1 s is the minimum: in random
+    /// histories of three daemons, one was paused while it lost its lease and another one stopped.
     pub fn of(record: Option<&ClaimRecord>, machine: &str) -> Self {
         match record {
             None => Self::None,
@@ -73,67 +73,67 @@
     }
 }
 
-/// This daemon's claims.
+/// The claims of this daemon.
 #[derive(Debug, Clone)]
 pub struct Claims {
     ttl: Duration,
-    quiet: Duration,
+    quiet_period: Duration,
     lease: Option<Lease>,
     claims: BTreeMap<Rc<str>, Claim>,
-    /// Added to revisions to make fences.
+    /// Added to revisions to form fences.
     fence_base: u64,
-    /// What this daemon had claimed when the store came back.
-    claimed_before: BTreeMap<Rc<str>, FormerClaim>,
-    /// Until then somebody may order servers by a record that the store has lost.
-    lost_until: Option<Time>,
+    /// The claims that this daemon held when the store was restored.
+    former_claims: BTreeMap<Rc<str>, FormerClaim>,
+    /// Until this time, another daemon may order servers by a record that the store has lost.
+    lost_claims_until: Option<Time>,
 }
 
 impl Claims {
-    /// No claims yet. `ttl` is the lease's; `quiet` is the time that has to pass between the last
-    /// order of one holder and the first of the next.
-    pub fn new(ttl: Duration, quiet: Duration) -> Self {
+    /// Creates an empty set. `ttl` is the lease's time to live; `quiet_period` is the minimum time
+    /// between the last order of one holder and the first of the next.
+    pub fn new(ttl: Duration, quiet_period: Duration) -> Self {
         Self {
             ttl,
-            quiet,
+            quiet_period,
             lease: None,
             claims: BTreeMap::new(),
             fence_base: 0,
-            claimed_before: BTreeMap::new(),
-            lost_until: None,
+            former_claims: BTreeMap::new(),
+            lost_claims_until: None,
         }
     }
 
-    /// The lease's time to live.
+    /// Returns the lease's time to live.
     pub fn ttl(&self) -> Duration {
         self.ttl
     }
 
-    /// A lease was granted that was asked for at `asked_at`.
-    pub fn leased(&mut self, id: u64, asked_at: Time) {
+    /// Records a lease that was granted for a request sent at `asked_at`.
+    pub fn set_lease(&mut self, id: u64, asked_at: Time) {
         self.lease = Some(Lease { id, renewed_at: asked_at });
     }
 
-    /// A renewal sent at `sent_at` was confirmed.
-    pub fn renewed(&mut self, id: u64, sent_at: Time) {
+    /// Records a confirmed renewal that was sent at `sent_at`.
+    pub fn extend_lease(&mut self, id: u64, sent_at: Time) {
         if let Some(lease) = self.lease.as_mut().filter(|lease| lease.id == id) {
             lease.renewed_at = lease.renewed_at.max(sent_at);
         }
     }
 
-    /// The lease is over. The claims stay, and can be used again under a new lease if their records
-    /// are found unchanged.
-    pub fn lapsed(&mut self) {
+    /// Records that the lease has expired. The claims stay and become usable under a new lease if
+    /// their records are unchanged.
+    pub fn clear_lease(&mut self) {
         self.lease = None;
     }
 
-    /// The lease, if it may still live.
+    /// Returns the lease if it may still be alive.
     pub fn lease(&self, now: Time) -> Option<u64> {
-        let living = self.lease.filter(|lease| now.since(lease.renewed_at) < self.ttl);
-        living.map(|lease| lease.id)
+        let live = self.lease.filter(|lease| now.since(lease.renewed_at) < self.ttl);
+        live.map(|lease| lease.id)
     }
 
-    /// The lease, if it may still live and claims hang on it. One without claims is let go: a new
-    /// one costs three calls, its renewals 50 in a minute.
+    /// Returns the lease if it may still be alive and claims depend on it. A lease without claims
+    /// is dropped: a new one costs three calls, while renewals cost 50 calls a minute.
     pub fn lease_in_use(&mut self, now: Time) -> Option<u64> {
         if self.claims.is_empty() {
             self.lease = None;
@@ -141,75 +141,81 @@
         self.lease(now)
     }
 
-    /// A server's record names this daemon since the change at `revision`.
-    pub fn claimed(&mut self, now: Time, server: &Rc<str>, revision: u64, before: Predecessor) {
+    /// Adds a claim on a server, whose record names this daemon since `revision`.
+    pub fn add(&mut self, now: Time, server: &Rc<str>, revision: u64, before: Predecessor) {
         let wait = match before {
             Predecessor::None => Duration::ZERO,
-            Predecessor::Resigned => self.quiet + ORDER_TRAVEL,
-            Predecessor::Lapsed => self.lapsed_wait(),
+            Predecessor::Resigned => self.quiet_period + ORDER_TRANSIT,
+            Predecessor::Lapsed => self.expired_wait(),
         };
         let settled = before == Predecessor::None;
-        let orders_from = self.own_from(now, server).map_or(now + wait, |from| from.max(now));
-        self.claimed_before.remove(server);
+        let may_order_from =
+            self.former_order_start(now, server).map_or(now + wait, |from| from.max(now));
+        self.former_claims.remove(server);
         let fence = self.fence_base + revision;
-        self.claims.insert(server.clone(), Claim { revision, fence, orders_from, settled });
+        self.claims.insert(server.clone(), Claim { revision, fence, may_order_from, settled });
     }
 
-    /// From the time at which a lease is known to be over, or lost, to the first order of a successor.
-    fn lapsed_wait(&self) -> Duration {
-        self.ttl.saturating_sub(STOP_BEFORE) + self.quiet + ORDER_TRAVEL
+    /// The wait from the time at which a lease is known to be expired or lost to the first order of
+    /// a successor.
+    fn expired_wait(&self) -> Duration {
+        self.ttl.saturating_sub(LEASE_MARGIN) + self.quiet_period + ORDER_TRANSIT
     }
 
-    /// What is added to revisions of records to make fences, from the next claim on.
+    /// Sets what is added to revisions to form the fences of later claims.
     pub fn set_fence_base(&mut self, fence_base: u64) {
         self.fence_base = fence_base;
     }
 
-    /// The store came back from a copy: leases and records may be lost, and their ids and
-    /// revisions given out again. All has to be claimed anew.
+    /// Resets the claims after the store was restored from a backup: leases and records may be
+    /// lost, and their ids and revisions may be reused, so every server has to be claimed again.
     pub fn store_came_back(&mut self, now: Time) {
-        self.claimed_before.retain(|_, former| now < former.until);
+        self.former_claims.retain(|_, former| now < former.until);
         if let Some(lease) = self.lease.take() {
-            let until = lease.renewed_at + self.ttl.saturating_sub(STOP_BEFORE);
-            let former = |claim: &Claim| FormerClaim { orders_from: claim.orders_from, until };
+            let until = lease.renewed_at + self.ttl.saturating_sub(LEASE_MARGIN);
+            let former =
+                |claim: &Claim| FormerClaim { may_order_from: claim.may_order_from, until };
             let claims = self.claims.iter();
-            self.claimed_before
+            self.former_claims
                 .extend(claims.map(|(server, claim)| (server.clone(), former(claim))));
         }
         self.claims.clear();
         self.lost_until_after(now);
     }
 
-    /// Somebody may order by a record that was lost at `began_at` at the latest.
+    /// Records that another daemon may order by a record that was lost at `began_at` at the latest.
     pub fn lost_until_after(&mut self, began_at: Time) {
-        self.lost_until = Some(began_at + self.lapsed_wait());
+        self.lost_claims_until = Some(began_at + self.expired_wait());
     }
 
-    /// Whose orders a claim has to wait for if its record tells of `before`: that may have been lost with the store's
-    /// newest part. A server that was this daemon's without a break was nobody else's.
+    /// Determines whose orders a claim has to wait for, given the `before` of its record: a later
+    /// holder may have been lost with the most recent writes of the store. A server that this
+    /// daemon held without interruption had no other holder.
     pub fn predecessor(&self, now: Time, server: &str, before: Predecessor) -> Predecessor {
-        let own_from = self.own_from(now, server);
-        match self.lost_until.is_some_and(|until| now < until) {
-            true if own_from.is_some_and(|from| now >= from) => Predecessor::None,
+        let former_order_start = self.former_order_start(now, server);
+        match self.lost_claims_until.is_some_and(|until| now < until) {
+            true if former_order_start.is_some_and(|from| now >= from) => Predecessor::None,
             true => Predecessor::Lapsed,
             false => before,
         }
     }
 
-    /// From when on this daemon could order a server by its claim of a former era, if it had one without a break.
-    fn own_from(&self, now: Time, server: &str) -> Option<Time> {
-        let former = self.claimed_before.get(server).filter(|former| now < former.until)?;
-        Some(former.orders_from)
+    /// Returns the time from which this daemon could order a server by its claim of an earlier era,
+    /// if it held the server without interruption.
+    fn former_order_start(&self, now: Time, server: &str) -> Option<Time> {
+        let former = self.former_claims.get(server).filter(|former| now < former.until)?;
+        Some(former.may_order_from)
     }
 
-    /// Another machine's claim of a server is known that is newer than this daemon's. True if it had one.
-    pub fn overtaken(&mut self, server: &str, revision: u64) -> bool {
+    /// Removes a claim that another machine's claim at `revision` supersedes. Returns true if there
+    /// was one.
+    pub fn remove_superseded(&mut self, server: &str, revision: u64) -> bool {
         let is_older = self.claims.get(server).is_some_and(|claim| claim.revision < revision);
         is_older && self.claims.remove(server).is_some()
     }
 
-    /// The record was written anew to say that it is settled.
-    pub fn settled(&mut self, server: &str, revision: u64) {
+    /// Records that the record was rewritten as settled.
+    pub fn mark_settled(&mut self, server: &str, revision: u64) {
         let fence = self.fence_base + revision;
         if let Some(claim) = self.claims.get_mut(server) {
             claim.settled = true;
@@ -218,30 +224,30 @@
         }
     }
 
-    /// A claim is gone: the server ended, or its record names another daemon.
-    pub fn dropped(&mut self, server: &str) -> Option<Claim> {
+    /// Removes a claim because the server is gone or its record names another daemon.
+    pub fn remove(&mut self, server: &str) -> Option<Claim> {
         self.claims.remove(server)
     }
 
-    /// All claims.
+    /// Iterates over all claims.
     pub fn all(&self) -> impl Iterator<Item = (&Rc<str>, &Claim)> {
         self.claims.iter()
     }
 
-    /// True if the server's record names this daemon.
-    pub fn has(&self, server: &str) -> bool {
+    /// Returns true if the server's record names this daemon.
+    pub fn contains(&self, server: &str) -> bool {
         self.claims.contains_key(server)
     }
 
-    /// The fence under which an order to a server may be sent at this very moment.
+    /// Returns the fence for an order to a server if one may be sent right now.
     pub fn may_order(&self, now: Time, server: &str) -> Option<u64> {
         let lease = self.lease?;
-        let safe = now.since(lease.renewed_at) + STOP_BEFORE < self.ttl;
+        let safe = now.since(lease.renewed_at) + LEASE_MARGIN < self.ttl;
         let claim = self.claims.get(server)?;
-        (safe && now >= claim.orders_from).then_some(claim.fence)
+        (safe && now >= claim.may_order_from).then_some(claim.fence)
     }
 
-    /// The servers that may be ordered at this moment.
+    /// Returns the servers that may be ordered right now.
     pub fn orderable(&self, now: Time) -> Vec<Rc<str>> {
         let orderable = self.claims.keys().filter(|id| self.may_order(now, id).is_some());
         orderable.cloned().collect()
--- a/crates/portrack/src/gateway/orders/mod.rs
+++ b/crates/portrack/src/gateway/orders/mod.rs
@@ -1,8 +1,9 @@
-//! What servers load and drop, and which daemon may order each of them.
+//! Decides which adapters and base models servers load and unload, and which daemon may send orders
+//! to each server.
 //!
-//! In come wishes, uses, reports and claims; out go orders, one at a time to each server, and notices of
-//! what came of them. Two daemons never order the same server within the quiet time, and an adapter in
-//! use is never dropped.
+//! Inputs are load requests, usage reports, server reports and claims. Outputs are orders, one at a
+//! time per server, and notices of their results. Two daemons never order the same server within
+//! the quiet period of each other, and an adapter in use is never unloaded.
 
 pub(in crate::gateway) mod adapter_demand;
 pub(in crate::gateway) mod claim_holders;
--- a/crates/portrack/src/gateway/orders/order_call.rs
+++ b/crates/portrack/src/gateway/orders/order_call.rs
@@ -1,4 +1,4 @@
-//! Calls to servers about what they hold, on connections of their own.
+//! HTTP calls to servers for orders and reports, on a connection pool of their own.
 
 use crate::gateway::connections::body::BodyDecoder;
 use crate::gateway::connections::pool::{ConnectionPool, PooledConnection};
@@ -12,68 +12,68 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections to one server for such calls.
+/// Maximum number of connections per server.
 const CONNECTIONS: usize = 2;
 
 /// One call.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::gateway) struct OrderCall<'a> {
-    /// The server that is meant; another one at its address refuses.
+    /// The intended server; another one at its address refuses the call.
     pub server: &'a Rc<str>,
-    /// Where it listens.
+    /// The server's address.
     pub address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
     /// The path.
     pub path: &'a str,
-    /// A JSON body.
+    /// The JSON body.
     pub body: &'a [u8],
-    /// The longest wait for the answer.
-    pub patience: Duration,
+    /// How long to wait for the response.
+    pub timeout: Duration,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
-pub(in crate::gateway) struct CallAnswer {
-    /// Its status.
+pub(in crate::gateway) struct CallResponse {
+    /// The status.
     pub status: StatusCode,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Debug, Clone)]
-pub(in crate::gateway) enum Called {
-    /// It was answered.
-    Answer(CallAnswer),
-    /// It was sent, at least in part.
-    NoAnswer,
-    /// Nothing of it was sent.
+pub(in crate::gateway) enum CallOutcome {
+    /// The server responded.
+    Response(CallResponse),
+    /// At least part of the call was sent, but no response arrived.
+    NoResponse,
+    /// Nothing was sent.
     NotSent,
 }
 
-/// Told of the head of each answer, with the server that was meant.
-pub(in crate::gateway) type AnswerHeard = Box<dyn Fn(&str, &ResponseHead)>;
+/// Called with the head of each response and the id of the intended server.
+pub(in crate::gateway) type ResponseHook = Box<dyn Fn(&str, &ResponseHead)>;
 
-/// Makes calls.
+/// Makes calls to servers.
 pub(in crate::gateway) struct OrderCalls {
     dialect: Rc<dyn Dialect>,
     pool: Rc<ConnectionPool>,
-    heard: OnceCell<AnswerHeard>,
+    response_hook: OnceCell<ResponseHook>,
 }
 
 impl OrderCalls {
-    /// No connections yet.
+    /// Creates a client without connections.
     pub fn new(dialect: Rc<dyn Dialect>) -> Self {
-        Self { dialect, pool: Rc::default(), heard: OnceCell::new() }
+        Self { dialect, pool: Rc::default(), response_hook: OnceCell::new() }
     }
 
-    /// Has the head of each answer told from now on; the first one who asks hears.
-    pub fn set_response_hook(&self, heard: AnswerHeard) {
-        let _ = self.heard.set(heard);
+    /// Sets the hook for response heads. Only the first call has an effect.
+    pub fn set_response_hook(&self, hook: ResponseHook) {
+        let _ = self.response_hook.set(hook);
     }
 
-    /// Forgets a server that is gone.
+    /// Closes the connections to a removed server.
     pub fn forget(&self, server: &str) {
         self.pool.close_server(server);
     }
@@ -83,24 +83,28 @@
         self.pool.close_unusable();
     }
 
-    /// Makes one call; `still` is asked right before the first byte leaves.
-    pub async fn call(&self, call: &OrderCall<'_>, still: impl Fn() -> bool) -> Called {
+    /// Makes one call. `still_allowed` is checked right before the first byte is sent.
+    pub async fn call(
+        &self,
+        call: &OrderCall<'_>,
+        still_allowed: impl Fn() -> bool,
+    ) -> CallOutcome {
         let Ok(pooled) = self.pool.acquire(call.server, call.address, CONNECTIONS).await else {
-            return Called::NotSent;
+            return CallOutcome::NotSent;
         };
-        let bytes = self.bytes(call);
-        if !still() {
+        let bytes = self.encode(call);
+        if !still_allowed() {
             pooled.release();
-            return Called::NotSent;
+            return CallOutcome::NotSent;
         }
-        let answering = self.answer(call.server, pooled, &bytes);
-        match actix_rt::time::timeout(call.patience, answering).await {
-            Ok(Some(answer)) => Called::Answer(answer),
-            Ok(None) | Err(_) => Called::NoAnswer,
+        let exchange = self.exchange(call.server, pooled, &bytes);
+        match actix_rt::time::timeout(call.timeout, exchange).await {
+            Ok(Some(response)) => CallOutcome::Response(response),
+            Ok(None) | Err(_) => CallOutcome::NoResponse,
         }
     }
 
-    fn bytes(&self, call: &OrderCall<'_>) -> Vec<u8> {
+    fn encode(&self, call: &OrderCall<'_>) -> Vec<u8> {
         let OrderCall { server, address, method, path, body, .. } = call;
         let (name, value) = self.dialect.order_target(server);
         let mut bytes = Vec::with_capacity(256 + body.len());
@@ -115,17 +119,17 @@
         bytes
     }
 
-    async fn answer(
+    async fn exchange(
         &self,
         server: &str,
         mut pooled: PooledConnection,
         bytes: &[u8],
-    ) -> Option<CallAnswer> {
+    ) -> Option<CallResponse> {
         let connection = pooled.connection();
         connection.send(bytes).await.ok()?;
         let head: ResponseHead = connection.read_head(&*self.dialect).await.ok()?;
-        if let Some(heard) = self.heard.get() {
-            heard(server, &head);
+        if let Some(hook) = self.response_hook.get() {
+            hook(server, &head);
         }
         let mut decoder = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
@@ -137,6 +141,6 @@
             connection.mark_idle(head.keep_alive);
             pooled.release();
         }
-        Some(CallAnswer { status: head.status, body: body.freeze() })
+        Some(CallResponse { status: head.status, body: body.freeze() })
     }
 }
--- a/crates/portrack/src/gateway/orders/planner.rs
+++ b/crates/portrack/src/gateway/orders/planner.rs
@@ -1,10 +1,10 @@
-//! Decides what the servers that this daemon orders load and drop. A state machine without sockets
-//! or clocks.
+//! Decides what the servers that this daemon orders load and unload. A state machine without
+//! sockets or clocks.
 
 use super::adapter_demand::AdapterDemand;
 use super::fetch_limit::FetchLimit;
 use super::load_budget::LoadBudget;
-use super::planned_server::{LATE_ORDERS, PlannedServer, SlotState};
+use super::planned_server::{LATE_ORDER_WINDOW, PlannedServer, SlotState};
 use crate::gateway::dialect::{AdapterKey, ServerReport};
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::config::{EngineSpec, FleetConfig};
@@ -15,17 +15,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A wish that could not be met for this long is given up.
-const WISH_PATIENCE: Duration = Duration::from_millis(2_000);
-/// A base model that was ordered and is not there after this is ordered again.
-const BASE_PATIENCE: Duration = Duration::from_secs(8);
+/// A load request that cannot be met within this time is given up.
+const LOAD_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// A base model that is not loaded this long after its order is ordered again.
+const BASE_LOAD_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The least that is told of how long a load will last.
-const LEAST_LEFT: Duration = Duration::from_millis(40);
-/// Missed adapters asked for less than this are forgotten.
-const FORGET_RATE: f64 = 0.02;
+/// Lower bound of the reported remaining time of a load.
+const MIN_REMAINING: Duration = Duration::from_millis(40);
+/// Adapters whose decayed demand falls below this are dropped from the missed ones.
+const MIN_MISSED_RATE: f64 = 0.02;
 
-/// What is to be loaded.
+/// What a step loads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannedLoad {
     /// A base model.
@@ -34,20 +34,20 @@
     Adapter(AdapterKey, u64),
 }
 
-/// One step at one server: something may go, something comes.
+/// One step at one server: an optional eviction, then a load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// The server.
     pub server: Rc<str>,
-    /// The life of it that is meant, by its start.
+    /// The server's incarnation, by its start.
     pub born: Option<u64>,
-    /// Where it listens.
+    /// The server's address.
     pub address: SocketAddr,
-    /// The adapter that makes way.
+    /// The adapter to evict first.
     pub evict: Option<AdapterKey>,
-    /// What comes.
+    /// What to load.
     pub load: PlannedLoad,
-    /// It has to come from the weight store.
+    /// Whether it has to be fetched from the weight store.
     pub cold: bool,
     /// How long the oldest request has waited for it.
     pub waited: Duration,
@@ -58,77 +58,77 @@
 pub enum PlanOutcome {
     /// It is loaded.
     Done,
-    /// What was to make way is still in use; the load did not begin.
+    /// The adapter to evict is still in use; the load did not begin.
     InUse,
-    /// The server is busy with another order, or has taken orders that are not known here.
+    /// The server is executing another order, or has accepted orders that are not known here.
     Busy,
     /// The server refused.
     Refused,
-    /// No answer: it may have been taken.
+    /// No response: the order may have been accepted.
     Unknown,
     /// Nothing was sent.
     NotSent,
-    /// Nothing was sent, since the server has to be asked first what it has taken.
+    /// Nothing was sent, since the server's order count has to be read first.
     Uncounted,
-    /// A later step has changed what became of the load.
+    /// A later step has changed the state of the load.
     Overtaken,
 }
 
-/// How far a load is, by what the planner knows of its server.
+/// The progress of a load, as far as the planner knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadProgress {
-    /// Ordered, and not known to be done.
+    /// Ordered and not known to be done.
     Loading,
     /// Done.
     Held,
-    /// The adapter is not there, is about to go, or another version is being loaded.
-    Over,
+    /// The adapter is gone or being evicted, or another version is being loaded.
+    Superseded,
 }
 
-/// What a wish comes to at once.
+/// The immediate answer to a load request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadRequestAnswer {
-    /// It is there, at this version.
+    /// It is loaded, at this version.
     Held(u64),
-    /// It is ordered or will be, and expected after this.
+    /// It is or will be ordered, and is expected after this time.
     Coming(Duration),
-    /// This server will not have it.
+    /// This server will not load it.
     Refused,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Wish {
+struct PendingRequest {
     version: u64,
     since: Time,
 }
 
-/// A wish that is to be met, the most asked for first.
-struct Wanted {
+/// A load request with its demand.
+struct RankedRequest {
     server: Rc<str>,
     key: AdapterKey,
-    wish: Wish,
-    worth: f64,
+    request: PendingRequest,
+    demand: f64,
 }
 
-/// The planner.
+/// Plans loads and evictions.
 #[derive(Debug, Default)]
 pub struct Planner {
     config: Option<Rc<FleetConfig>>,
     servers: BTreeMap<Rc<str>, PlannedServer>,
     versions: HashMap<AdapterKey, u64>,
     budgets: HashMap<Rc<str>, LoadBudget>,
-    wishes: BTreeMap<(Rc<str>, AdapterKey), Wish>,
+    load_requests: BTreeMap<(Rc<str>, AdapterKey), PendingRequest>,
     missed: HashMap<AdapterKey, AdapterDemand>,
-    /// Unloads without an answer, by their servers, which may be carried out yet.
+    /// Unloads without a response, by server, which may still be executed.
     late_unloads: HashMap<Rc<str>, Vec<(AdapterKey, Time)>>,
-    /// When this daemon learned that a server has started again, while late orders may come.
-    born_again: HashMap<Rc<str>, Time>,
-    servers_ordered: usize,
-    fetches: FetchLimit,
+    /// When this daemon learned that a server has restarted, while late orders may still arrive.
+    restarted_at: HashMap<Rc<str>, Time>,
+    ordered_servers: usize,
+    fetch_limit: FetchLimit,
 }
 
 impl Planner {
-    /// Takes a configuration in. `daemons` share the loads of base models.
+    /// Updates the configuration.
     pub fn set_config(&mut self, now: Time, config: Rc<FleetConfig>) {
         for service in config.services.values() {
             let Some(engine) = &service.engine else { continue };
@@ -139,95 +139,95 @@
         self.config = Some(config);
     }
 
-    /// Notes how many daemons share the loads of base models.
+    /// Updates the number of daemons that share the loads of base models.
     pub fn set_daemon_count(&mut self, daemons: usize) {
         for budget in self.budgets.values_mut() {
-            budget.set_sharers(daemons);
+            budget.set_daemons(daemons);
         }
     }
 
-    /// Takes a server's entry in.
+    /// Updates a server from its entry.
     pub fn update_server(&mut self, now: Time, backend: &Backend) {
         if let Some(server) = self.servers.get_mut(&backend.id) {
-            return server.listed(now, backend);
+            return server.apply_entry(now, backend);
         }
         let mut server = PlannedServer::new(now, backend);
-        if let Some(at) = self.born_again.get(&backend.id) {
+        if let Some(at) = self.restarted_at.get(&backend.id) {
             let unloads = self.late_unloads.get(&backend.id).into_iter().flatten();
             let unloads = unloads.map(|(key, _)| key.clone()).collect();
-            server.expect_late_orders(*at + LATE_ORDERS, unloads);
+            server.expect_late_orders(*at + LATE_ORDER_WINDOW, unloads);
         }
         self.servers.insert(backend.id.clone(), server);
     }
 
-    /// A server has started again: nothing of before holds but what was ordered and may come late.
+    /// Handles a server restart: nothing from before is valid except orders that may arrive late.
     pub fn server_restarted(&mut self, now: Time, id: &Rc<str>) {
         self.server_gone(id);
-        self.born_again.insert(id.clone(), now);
+        self.restarted_at.insert(id.clone(), now);
     }
 
-    /// An unload got no answer: it may be carried out late.
+    /// Records an unload without a response, which may be executed late.
     pub fn unload_unanswered(&mut self, now: Time, id: &Rc<str>, key: &AdapterKey) {
         let unloads = self.late_unloads.entry(id.clone()).or_default();
         unloads.retain(|(late, _)| late != key);
         unloads.push((key.clone(), now));
     }
 
-    /// The life of a server that is believed in, by its start; `None` if the server is not known.
+    /// Returns the known incarnation of a server, by its start; `None` if the server is unknown.
     pub fn incarnation(&self, id: &str) -> Option<Option<u64>> {
         Some(self.servers.get(id)?.born)
     }
 
-    /// Notes whether a server's data hall is evacuated. Nothing that was wished for there comes.
+    /// Sets whether a server's data hall is evacuated, which drops its load requests.
     pub fn set_evacuated(&mut self, id: &str, evacuated: bool) {
         let Some(server) = self.servers.get_mut(id) else { return };
         server.evacuated = evacuated;
         if evacuated {
-            self.wishes.retain(|(server, _), _| &**server != id);
+            self.load_requests.retain(|(server, _), _| &**server != id);
         }
     }
 
-    /// A server is gone.
+    /// Removes a server.
     pub fn server_gone(&mut self, id: &str) {
         self.servers.remove(id);
-        self.wishes.retain(|(server, _), _| &**server != id);
+        self.load_requests.retain(|(server, _), _| &**server != id);
     }
 
-    /// Takes a server's report in.
+    /// Applies a server's report.
     pub fn reported(&mut self, now: Time, id: &str, report: &ServerReport) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.reported(now, report);
+            server.apply_report(now, report);
         }
     }
 
-    /// What a server holds has to be asked before it is ordered again.
+    /// Requires a new report of a server before it is ordered again.
     pub fn invalidate_survey(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.surveyed = false;
         }
     }
 
-    /// The servers, of these, whose report has to be read first, with their addresses.
+    /// Returns those of the given servers whose report has to be read first, with their addresses.
     pub fn needing_survey(&self, orderable: &[Rc<str>]) -> Vec<(Rc<str>, SocketAddr)> {
         let servers = orderable.iter().filter_map(|id| self.servers.get_key_value(id));
-        let unsurveyed = servers.filter(|(_, server)| !server.surveyed && !server.draining);
-        unsurveyed.map(|(id, server)| (id.clone(), server.address)).collect()
+        let needing_survey = servers.filter(|(_, server)| !server.surveyed && !server.draining);
+        needing_survey.map(|(id, server)| (id.clone(), server.address)).collect()
     }
 
-    /// A newer version of an adapter is named.
+    /// Records a newer version of an adapter.
     pub fn announce_version(&mut self, key: &AdapterKey, version: u64) {
-        let named = self.versions.entry(key.clone()).or_insert(version);
-        *named = version.max(*named);
+        let known = self.versions.entry(key.clone()).or_insert(version);
+        *known = version.max(*known);
     }
 
-    /// Requests used an adapter at a server.
+    /// Counts requests that used an adapter at a server.
     pub fn record_use(&mut self, now: Time, server: &str, key: &AdapterKey, times: u16) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.used(now, key, times);
+            server.record_use(now, key, times);
         }
     }
 
-    /// A daemon tells whether its requests run with an adapter at a server.
+    /// Records whether a daemon's requests run with an adapter at a server.
     pub fn set_running(
         &mut self,
         now: Time,
@@ -237,11 +237,11 @@
         running: bool,
     ) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.running(now, key, daemon, running);
+            server.set_running(now, key, daemon, running);
         }
     }
 
-    /// Requests wish for an adapter at a server, at this version or a newer one.
+    /// Requests an adapter at a server, at this version or a newer one.
     pub fn request_load(
         &mut self,
         now: Time,
@@ -251,7 +251,7 @@
         requests: u16,
     ) -> LoadRequestAnswer {
         let Some(server) = self.servers.get_mut(id) else { return LoadRequestAnswer::Refused };
-        if !server.is_open() || server.models.is_empty() || server.may_be_dropped(now, key) {
+        if !server.is_open() || server.models.is_empty() || server.may_be_unloaded_late(now, key) {
             return LoadRequestAnswer::Refused;
         }
         let version = version.max(self.versions.get(key).copied().unwrap_or(FIRST_VERSION));
@@ -261,99 +261,104 @@
             match slot.state {
                 SlotState::Held => {
                     let version = slot.version;
-                    server.used(now, key, requests);
+                    server.record_use(now, key, requests);
                     return LoadRequestAnswer::Held(version);
                 }
                 SlotState::Loading => {
-                    let passed = now.since(slot.changed_at);
-                    let left = self.fetches.typical().saturating_sub(passed);
-                    return LoadRequestAnswer::Coming(left.max(LEAST_LEFT));
+                    let elapsed = now.since(slot.changed_at);
+                    let left = self.fetch_limit.typical().saturating_sub(elapsed);
+                    return LoadRequestAnswer::Coming(left.max(MIN_REMAINING));
                 }
-                SlotState::Leaving => {}
+                SlotState::Unloading => {}
             }
         }
-        let room = self.config.as_ref().and_then(|config| {
+        let free = self.config.as_ref().and_then(|config| {
             let spec = config.services.get(&server.service)?.engine.as_ref()?;
-            let idle =
-                if server.may_swap(now, spec, &key.model) { server.idle(now, key) } else { 0 };
-            Some(server.free(now, spec, &key.model) + idle)
+            let idle = if server.may_evict(now, spec, &key.model) {
+                server.evictable_count(now, key)
+            } else {
+                0
+            };
+            Some(server.free_slots(now, spec, &key.model) + idle)
         });
-        let promised = self.wishes.keys().filter(|(at, other)| at == id && other != key).count();
-        if room.is_some_and(|room| room <= promised) {
+        let reserved =
+            self.load_requests.keys().filter(|(at, other)| at == id && other != key).count();
+        if free.is_some_and(|free| free <= reserved) {
             return LoadRequestAnswer::Refused;
         }
-        let at_hand = server.at_hand(key, version);
+        let is_cached = server.is_cached(key, version);
         self.missed.entry(key.clone()).or_default().used(now, requests);
-        let fresh = Wish { version, since: now };
-        let wish = self.wishes.entry((id.clone(), key.clone())).or_insert(fresh);
-        wish.version = wish.version.max(version);
-        LoadRequestAnswer::Coming(match at_hand {
-            true => LEAST_LEFT,
-            false => self.fetches.expected(self.ahead(now, key)),
+        let fresh = PendingRequest { version, since: now };
+        let request = self.load_requests.entry((id.clone(), key.clone())).or_insert(fresh);
+        request.version = request.version.max(version);
+        LoadRequestAnswer::Coming(match is_cached {
+            true => MIN_REMAINING,
+            false => self.fetch_limit.expected(self.requests_ahead(now, key)),
         })
     }
 
-    /// Wishes for other adapters that are met before this one's.
-    fn ahead(&self, now: Time, key: &AdapterKey) -> usize {
-        let worth = self.worth(now, key);
-        let others = self.wishes.keys().filter(|(_, other)| other != key);
-        others.filter(|(_, other)| self.worth(now, other) >= worth).count()
+    /// Counts the requests for other adapters that are met before this one's.
+    fn requests_ahead(&self, now: Time, key: &AdapterKey) -> usize {
+        let demand = self.missed_demand(now, key);
+        let others = self.load_requests.keys().filter(|(_, other)| other != key);
+        others.filter(|(_, other)| self.missed_demand(now, other) >= demand).count()
     }
 
-    /// How much an adapter was asked for and missed lately.
-    fn worth(&self, now: Time, key: &AdapterKey) -> f64 {
+    /// Returns the recent demand for an adapter that was not loaded.
+    fn missed_demand(&self, now: Time, key: &AdapterKey) -> f64 {
         self.missed.get(key).map_or(0.0, |missed| missed.rate(now))
     }
 
-    /// What a load will last.
-    pub fn fetch_takes(&self, cold: bool) -> Duration {
-        if cold { self.fetches.typical() } else { LEAST_LEFT }
+    /// Estimates how long a load takes.
+    pub fn expected_load_time(&self, cold: bool) -> Duration {
+        if cold { self.fetch_limit.typical() } else { MIN_REMAINING }
     }
 
-    /// The adapters loaded at a server, with their requests a second.
+    /// Returns the adapters loaded at a server with their requests per second.
     pub fn request_rates(&self, now: Time, server: &str) -> Vec<(AdapterKey, f64)> {
         let slots = self.servers.get(server).into_iter().flat_map(|server| &server.slots);
         let held = slots.filter(|(_, slot)| slot.state == SlotState::Held);
         held.map(|(key, slot)| (key.clone(), slot.demand.per_second(now))).collect()
     }
 
-    /// Forgets what nobody asks for any more, and late orders that can come no more.
+    /// Drops adapters without demand and late orders that can no longer arrive.
     pub fn sweep(&mut self, now: Time) {
-        let may_come = |at: Time| now.since(at) < LATE_ORDERS;
-        self.born_again.retain(|_, at| may_come(*at));
+        let may_arrive = |at: Time| now.since(at) < LATE_ORDER_WINDOW;
+        self.restarted_at.retain(|_, at| may_arrive(*at));
         self.late_unloads.retain(|_, unloads| {
-            unloads.retain(|(_, at)| may_come(*at));
+            unloads.retain(|(_, at)| may_arrive(*at));
             !unloads.is_empty()
         });
-        self.missed.retain(|_, missed| missed.rate(now) > FORGET_RATE);
+        self.missed.retain(|_, missed| missed.rate(now) > MIN_MISSED_RATE);
     }
 
-    /// The next steps at the servers that may be ordered now, and the wishes given up.
+    /// Returns the next steps at the servers that may be ordered now, and the load requests given
+    /// up.
     pub fn plan(
         &mut self,
         now: Time,
         orderable: &[Rc<str>],
     ) -> (Vec<Plan>, Vec<(Rc<str>, AdapterKey)>) {
         let Some(config) = self.config.clone() else { return (Vec::new(), Vec::new()) };
-        self.servers_ordered = orderable.len();
+        self.ordered_servers = orderable.len();
         for server in self.servers.values_mut() {
-            if server.waits_for_runs(now) || server.doubts_survey(now) {
+            if server.has_overdue_unload(now) || server.is_survey_outdated(now) {
                 server.surveyed = false;
             }
         }
         let mut plans = Vec::new();
         for id in orderable {
             let Some(spec) = self.spec(&config, id) else { continue };
-            plans.extend(self.base_load(now, id, spec));
+            plans.extend(self.plan_base_load(now, id, spec));
         }
-        for wanted in self.wanted(now, orderable) {
-            let Some(spec) = self.spec(&config, &wanted.server) else { continue };
-            if let Some(plan) = self.adapter_load(now, spec, &wanted) {
-                self.wishes.remove(&(wanted.server, wanted.key));
+        for ranked in self.ranked_requests(now, orderable) {
+            let Some(spec) = self.spec(&config, &ranked.server) else { continue };
+            if let Some(plan) = self.plan_adapter_load(now, spec, &ranked) {
+                self.load_requests.remove(&(ranked.server, ranked.key));
                 plans.push(plan);
             }
         }
-        (plans, self.give_up(now))
+        (plans, self.expire_requests(now))
     }
 
     fn spec<'a>(&self, config: &'a FleetConfig, server: &str) -> Option<&'a EngineSpec> {
@@ -361,35 +366,41 @@
         config.services.get(service)?.engine.as_ref()
     }
 
-    /// The wishes at these servers, the most asked for first.
-    fn wanted(&self, now: Time, orderable: &[Rc<str>]) -> Vec<Wanted> {
-        let here = self.wishes.iter().filter(|((server, _), _)| orderable.contains(server));
-        let mut wanted: Vec<Wanted> = here
-            .map(|((server, key), wish)| Wanted {
+    /// Returns the load requests at these servers, highest demand first.
+    fn ranked_requests(&self, now: Time, orderable: &[Rc<str>]) -> Vec<RankedRequest> {
+        let here = self.load_requests.iter().filter(|((server, _), _)| orderable.contains(server));
+        let mut ranked: Vec<RankedRequest> = here
+            .map(|((server, key), request)| RankedRequest {
                 server: server.clone(),
                 key: key.clone(),
-                wish: *wish,
-                worth: self.worth(now, key),
+                request: *request,
+                demand: self.missed_demand(now, key),
             })
             .collect();
-        wanted.sort_by(|a, b| b.worth.total_cmp(&a.worth).then(a.wish.since.cmp(&b.wish.since)));
-        wanted
+        ranked.sort_by(|a, b| {
+            b.demand.total_cmp(&a.demand).then(a.request.since.cmp(&b.request.since))
+        });
+        ranked
     }
 
-    fn give_up(&mut self, now: Time) -> Vec<(Rc<str>, AdapterKey)> {
-        let old = |wish: &Wish| now.since(wish.since) >= WISH_PATIENCE;
-        let given_up: Vec<_> =
-            self.wishes.iter().filter(|(_, wish)| old(wish)).map(|(at, _)| at.clone()).collect();
-        self.wishes.retain(|_, wish| !old(wish));
+    fn expire_requests(&mut self, now: Time) -> Vec<(Rc<str>, AdapterKey)> {
+        let old = |request: &PendingRequest| now.since(request.since) >= LOAD_REQUEST_TIMEOUT;
+        let given_up: Vec<_> = self
+            .load_requests
+            .iter()
+            .filter(|(_, request)| old(request))
+            .map(|(at, _)| at.clone())
+            .collect();
+        self.load_requests.retain(|_, request| !old(request));
         given_up
     }
 
-    fn base_load(&mut self, now: Time, id: &Rc<str>, spec: &EngineSpec) -> Option<Plan> {
+    fn plan_base_load(&mut self, now: Time, id: &Rc<str>, spec: &EngineSpec) -> Option<Plan> {
         let model = spec.models.first()?;
         let server = self.servers.get_mut(id)?;
         let ordered = server.base_ordered_at;
-        let waiting = ordered.is_some_and(|at| now.since(at) < BASE_PATIENCE);
-        if !server.models.is_empty() || !server.takes_orders(now) || waiting {
+        let waiting = ordered.is_some_and(|at| now.since(at) < BASE_LOAD_TIMEOUT);
+        if !server.models.is_empty() || !server.accepts_orders(now) || waiting {
             return None;
         }
         if !self.budgets.get_mut(&server.service)?.take(now) {
@@ -407,34 +418,39 @@
         })
     }
 
-    fn adapter_load(&mut self, now: Time, spec: &EngineSpec, wanted: &Wanted) -> Option<Plan> {
-        let Wanted { server: id, key, wish, .. } = wanted;
+    fn plan_adapter_load(
+        &mut self,
+        now: Time,
+        spec: &EngineSpec,
+        ranked: &RankedRequest,
+    ) -> Option<Plan> {
+        let RankedRequest { server: id, key, request, .. } = ranked;
         let versions = &self.versions;
         let newest = |key: &AdapterKey| versions.get(key).copied().unwrap_or(FIRST_VERSION);
-        let version = wish.version.max(newest(key));
+        let version = request.version.max(newest(key));
         let server = self.servers.get_mut(id)?;
-        if !server.takes_adapters(now, &key.model) {
+        if !server.accepts_adapter(now, &key.model) {
             return None;
         }
         if server.slots.get(key).is_some_and(|slot| slot.state != SlotState::Held) {
             return None;
         }
-        if server.may_be_dropped(now, key) || !server.may_swap(now, spec, &key.model) {
+        if server.may_be_unloaded_late(now, key) || !server.may_evict(now, spec, &key.model) {
             return None;
         }
-        let evict = match server.free(now, spec, &key.model) {
-            0 => Some(server.victim(now, key, newest)?),
+        let evict = match server.free_slots(now, spec, &key.model) {
+            0 => Some(server.choose_victim(now, key, newest)?),
             _ => None,
         };
-        let cold = !server.at_hand(key, version);
-        if cold && !self.fetches.take() {
+        let cold = !server.is_cached(key, version);
+        if cold && !self.fetch_limit.try_acquire() {
             return None;
         }
         if let Some(victim) = &evict {
             let held = server.slots.get(victim)?.version;
-            server.set(now, victim, held, SlotState::Leaving);
+            server.set_slot(now, victim, held, SlotState::Unloading);
         }
-        server.set(now, key, version, SlotState::Loading);
+        server.set_slot(now, key, version, SlotState::Loading);
         Some(Plan {
             server: id.clone(),
             born: server.born,
@@ -442,40 +458,40 @@
             evict,
             load: PlannedLoad::Adapter(key.clone(), version),
             cold,
-            waited: now.since(wish.since),
+            waited: now.since(request.since),
         })
     }
 
-    /// A server dropped what made way.
+    /// Records that a server has unloaded an adapter.
     pub fn evicted(&mut self, server: &str, key: &AdapterKey) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.unset(key);
+            server.remove_slot(key);
         }
     }
 
-    /// How far the load of a version is that was ordered.
+    /// Returns the progress of an ordered load of a version.
     pub fn load_progress(&self, server: &str, key: &AdapterKey, version: u64) -> LoadProgress {
         let slot = self.servers.get(server).and_then(|server| server.slots.get(key));
         match slot.filter(|slot| slot.version >= version).map(|slot| slot.state) {
             Some(SlotState::Loading) => LoadProgress::Loading,
             Some(SlotState::Held) => LoadProgress::Held,
-            Some(SlotState::Leaving) | None => LoadProgress::Over,
+            Some(SlotState::Unloading) | None => LoadProgress::Superseded,
         }
     }
 
-    /// A step is over. `fetch` is how long the load took, if there was one.
+    /// Records the end of a step. `fetch` is how long the load took, if there was one.
     pub fn ended(&mut self, now: Time, plan: &Plan, end: PlanOutcome, fetch: Option<Duration>) {
         if plan.cold && matches!(plan.load, PlannedLoad::Adapter(..)) {
             match fetch.filter(|_| end == PlanOutcome::Done) {
-                Some(took) => self.fetches.fetched(took, self.servers_ordered),
-                None => self.fetches.give_back(),
+                Some(took) => self.fetch_limit.record_fetch(took, self.ordered_servers),
+                None => self.fetch_limit.release(),
             }
         }
         let server = self.servers.get_mut(&plan.server);
         let Some(server) = server.filter(|server| server.born == plan.born) else { return };
         match end {
-            PlanOutcome::Unknown => server.silent(now),
-            PlanOutcome::Busy => server.busy(now),
+            PlanOutcome::Unknown => server.pause_unresponsive(now),
+            PlanOutcome::Busy => server.pause_busy(now),
             PlanOutcome::Done
             | PlanOutcome::InUse
             | PlanOutcome::Refused
@@ -485,28 +501,28 @@
         }
         if let Some(victim) = &plan.evict
             && let Some(slot) = server.slots.get_mut(victim)
-            && slot.state == SlotState::Leaving
+            && slot.state == SlotState::Unloading
             && end != PlanOutcome::InUse
         {
             slot.state = SlotState::Held;
         }
         let PlannedLoad::Adapter(key, version) = &plan.load else {
             if end != PlanOutcome::Done {
-                server.base_ordered_at = Some(now - BASE_PATIENCE.mul_f64(0.8));
+                server.base_ordered_at = Some(now - BASE_LOAD_TIMEOUT.mul_f64(0.8));
             }
             return;
         };
         match end {
-            PlanOutcome::Done => server.set(now, key, *version, SlotState::Held),
-            PlanOutcome::Refused | PlanOutcome::NotSent => server.unsettle(key, *version),
+            PlanOutcome::Done => server.set_slot(now, key, *version, SlotState::Held),
+            PlanOutcome::Refused | PlanOutcome::NotSent => server.load_refused(key, *version),
             PlanOutcome::InUse | PlanOutcome::Busy | PlanOutcome::Uncounted => {
                 if end == PlanOutcome::Busy {
-                    server.unsettle(key, *version);
+                    server.load_refused(key, *version);
                 } else {
-                    server.not_begun(key, *version);
+                    server.cancel_load(key, *version);
                 }
-                let wish = Wish { version: *version, since: now - plan.waited };
-                self.wishes.entry((plan.server.clone(), key.clone())).or_insert(wish);
+                let request = PendingRequest { version: *version, since: now - plan.waited };
+                self.load_requests.entry((plan.server.clone(), key.clone())).or_insert(request);
             }
             PlanOutcome::Unknown | PlanOutcome::Overtaken => {}
         }
--- /dev/null
+++ b/crates/portrack/src/gateway/quarantine/announcements.rs
@@ -0,0 +1,102 @@
+//! Queue of announcements to other nodes. Each is sent several times, since datagrams are lost.
+
+use super::fingerprint::RequestFingerprint;
+use super::message::{EndReport, HoldReport, MAX_ITEMS, QuarantineMessage};
+use super::suspect_requests::{HeldRequest, ServerEnd};
+use crate::gateway::fleet::recipients::Recipients;
+use crate::types::Time;
+use std::time::Duration;
+
+/// Delays at which an announcement is sent. A link that loses one datagram in forty loses all three
+/// once in 64,000, and the last is sent 1.4 s before all reachable nodes must know.
+const SEND_DELAYS: [Duration; 3] =
+    [Duration::ZERO, Duration::from_millis(400), Duration::from_millis(1_600)];
+
+/// An announcement.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Announcement {
+    /// A server ended under a request.
+    Ended(RequestFingerprint, ServerEnd),
+    /// A request is held back; with the time at which this was known.
+    Held(HeldRequest, Time),
+    /// A request was served.
+    Served(RequestFingerprint),
+}
+
+impl Announcement {
+    /// Returns the request.
+    pub fn fingerprint(&self) -> RequestFingerprint {
+        match self {
+            Self::Ended(fingerprint, _) | Self::Served(fingerprint) => *fingerprint,
+            Self::Held(held, _) => held.fingerprint,
+        }
+    }
+}
+
+#[derive(Debug, Clone, Copy)]
+struct Pending {
+    since: Time,
+    times: usize,
+    audience: Recipients,
+    announcement: Announcement,
+}
+
+/// Announcements that are still to be sent.
+#[derive(Debug, Default)]
+pub struct AnnouncementQueue(Vec<Pending>);
+
+impl AnnouncementQueue {
+    /// Queues an announcement.
+    pub fn add(&mut self, now: Time, audience: Recipients, announcement: Announcement) {
+        // Earlier announcements about a request that was served must not be repeated.
+        if matches!(announcement, Announcement::Served(_)) {
+            self.forget(announcement.fingerprint());
+        }
+        self.0.push(Pending { since: now, times: 0, audience, announcement });
+    }
+
+    /// Drops all announcements about a request.
+    pub fn forget(&mut self, fingerprint: RequestFingerprint) {
+        self.0.retain(|pending| pending.announcement.fingerprint() != fingerprint);
+    }
+
+    /// Returns the announcements that are due, with their recipients.
+    pub fn due(&mut self, now: Time) -> Vec<(Recipients, Announcement)> {
+        let mut due = Vec::new();
+        for pending in &mut self.0 {
+            let after = SEND_DELAYS[pending.times];
+            if now >= pending.since + after {
+                pending.times += 1;
+                due.push((pending.audience, pending.announcement));
+            }
+        }
+        self.0.retain(|pending| pending.times < SEND_DELAYS.len());
+        due
+    }
+}
+
+/// Packs announcements into messages, each of which fits into a datagram.
+pub fn pack_messages(now: Time, all: &[Announcement]) -> Vec<QuarantineMessage> {
+    let (mut ended, mut held, mut served) = (Vec::new(), Vec::new(), Vec::new());
+    for announcement in all {
+        match announcement {
+            Announcement::Ended(fingerprint, end) => {
+                ended.push(end_report(now, *fingerprint, *end))
+            }
+            Announcement::Held(request, since) => {
+                let remaining = request.remaining.saturating_sub(now.since(*since));
+                held.push(HoldReport::from(HeldRequest { remaining, ..*request }));
+            }
+            Announcement::Served(fingerprint) => served.push(*fingerprint),
+        }
+    }
+    let ended = ended.chunks(MAX_ITEMS).map(|items| QuarantineMessage::Ended(items.to_vec()));
+    let held = held.chunks(MAX_ITEMS).map(|items| QuarantineMessage::Held(items.to_vec()));
+    let served = served.chunks(MAX_ITEMS).map(|items| QuarantineMessage::Served(items.to_vec()));
+    ended.chain(held).chain(served).collect()
+}
+
+fn end_report(now: Time, fingerprint: RequestFingerprint, end: ServerEnd) -> EndReport {
+    let age_ms = u32::try_from(now.since(end.at).as_millis()).unwrap_or(u32::MAX);
+    EndReport { fingerprint, incarnation: end.incarnation, age_ms }
+}
--- a/crates/portrack/src/gateway/quarantine/ends.rs
+++ b/crates/portrack/src/gateway/quarantine/ends.rs
@@ -1,62 +1,64 @@
-//! Which servers have ended, as far as the requests tell that were lost there.
+//! Tracks which servers have ended, starting from the requests that were lost there.
 
 use super::fingerprint::RequestFingerprint;
 use crate::types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A life whose end was seen is remembered for so long: some of its requests are found lost later.
+/// How long an ended incarnation is remembered, since some of its requests are found lost later.
 const REMEMBERED_FOR: Duration = Duration::from_secs(10);
 
 /// A request whose connection to a server broke.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LostRequest {
     /// The request.
-    pub mark: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// The id of the caller's attempt, for logs.
     pub id: Box<str>,
-    /// When it was found lost.
+    /// When the loss was noticed.
     pub at: Time,
 }
 
-/// What is to be done about a lost request.
+/// What to do about a lost request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndCheck {
-    /// The server has ended.
+    /// The server is known to have ended.
     Ended,
-    /// It has to be asked whether it lives.
+    /// A check whether the server is alive has to be started.
     Start,
-    /// It is being asked.
+    /// Such a check is running.
     Pending,
 }
 
 /// Servers that lost requests.
 #[derive(Debug, Default)]
 pub struct ServerEnds {
-    asked: HashMap<u32, Vec<LostRequest>>,
+    checking: HashMap<u32, Vec<LostRequest>>,
     ended: HashMap<u32, Time>,
 }
 
 impl ServerEnds {
-    /// Takes note of a lost request at a server's life.
-    pub fn lost(&mut self, now: Time, life: u32, request: LostRequest) -> EndCheck {
+    /// Records a request that was lost at an incarnation of a server.
+    pub fn add_lost(&mut self, now: Time, incarnation: u32, request: LostRequest) -> EndCheck {
         self.ended.retain(|_, at| now.since(*at) < REMEMBERED_FOR);
-        if self.ended.contains_key(&life) {
+        if self.ended.contains_key(&incarnation) {
             return EndCheck::Ended;
         }
-        let asked = self.asked.contains_key(&life);
-        self.asked.entry(life).or_default().push(request);
-        if asked { EndCheck::Pending } else { EndCheck::Start }
+        let checking = self.checking.contains_key(&incarnation);
+        self.checking.entry(incarnation).or_default().push(request);
+        if checking { EndCheck::Pending } else { EndCheck::Start }
     }
 
-    /// The server's life has ended: all requests that were lost there meanwhile.
-    pub fn ended(&mut self, now: Time, life: u32) -> Vec<LostRequest> {
-        self.ended.insert(life, now);
-        self.asked.remove(&life).unwrap_or_default()
+    /// Records that the incarnation has ended. Returns all requests that were lost there during the
+    /// check.
+    pub fn confirm_end(&mut self, now: Time, incarnation: u32) -> Vec<LostRequest> {
+        self.ended.insert(incarnation, now);
+        self.checking.remove(&incarnation).unwrap_or_default()
     }
 
-    /// The server lives, or nobody can tell: how many requests were lost there.
-    pub fn not_ended(&mut self, life: u32) -> usize {
-        self.asked.remove(&life).map_or(0, |lost| lost.len())
+    /// Records that the server is alive, or that this cannot be determined. Returns how many
+    /// requests were lost there.
+    pub fn dismiss(&mut self, incarnation: u32) -> usize {
+        self.checking.remove(&incarnation).map_or(0, |lost| lost.len())
     }
 }
--- a/crates/portrack/src/gateway/quarantine/fingerprint.rs
+++ b/crates/portrack/src/gateway/quarantine/fingerprint.rs
@@ -1,32 +1,32 @@
-//! Tells whether two tries are the same request.
+//! Identifies retries of the same request.
 
 use crate::gateway::hex;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Bytes of a mark: no two requests of a fleet share one by chance, and nobody can make another request
-/// with the same one.
+/// Length of a fingerprint in bytes: no two requests of a fleet collide by chance, and nobody can
+/// construct another request with the same fingerprint.
 const LENGTH: usize = 16;
 
-/// Who sends a request, as far as tries of the same one are concerned. An address says nothing: tries of one
-/// request came from addresses of four data halls, two of them within a millisecond.
+/// The sender of a request, as far as it distinguishes requests. The address does not: retries of
+/// one request came from addresses of four data halls, two of them within a millisecond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerIdentity<'a> {
-    /// An organisation, where callers show keys: whichever of its keys it shows, from wherever.
+    /// An organisation, where callers present API keys: whichever of its keys, from any address.
     Organisation(&'a str),
-    /// Nobody knows: what has the same path and body crashes servers whoever sends it.
+    /// Unknown: a request with the same path and body crashes servers whoever sends it.
     Unknown,
 }
 
-/// What is the same for all tries of a request.
+/// The parts of a request that all its retries share.
 #[derive(Debug, Clone, Copy)]
 pub struct FingerprintInput<'a> {
-    /// Who sends it, if that is known.
+    /// The sender, if known.
     pub caller: CallerIdentity<'a>,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host asked for.
+    /// The requested host.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
@@ -34,13 +34,12 @@
     pub body: &'a [u8],
 }
 
-/// Stands for a request, whichever try it is and at whichever node. Neither its caller nor its body can be
-/// found from it.
+/// Identifies a request across retries and nodes. It reveals neither the caller nor the body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestFingerprint([u8; LENGTH]);
 
 impl RequestFingerprint {
-    /// The mark of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(request: &FingerprintInput<'_>) -> Self {
         let caller = match request.caller {
             CallerIdentity::Organisation(name) => name,
@@ -53,25 +52,25 @@
             request.target.as_bytes(),
             request.body,
         ];
-        let mut digest = Sha256::new();
+        let mut hasher = Sha256::new();
         for part in parts {
-            // Where a part ends must be told, or two requests could share a mark.
-            digest.update((part.len() as u64).to_be_bytes());
-            digest.update(part);
+            // Without the lengths, two requests could have the same fingerprint.
+            hasher.update((part.len() as u64).to_be_bytes());
+            hasher.update(part);
         }
-        let whole = digest.finalize();
-        let mut mark = [0; LENGTH];
-        mark.copy_from_slice(&whole[..LENGTH]);
-        Self(mark)
+        let hash = hasher.finalize();
+        let mut bytes = [0; LENGTH];
+        bytes.copy_from_slice(&hash[..LENGTH]);
+        Self(bytes)
     }
 
-    /// Names the duties of nodes that concern this request.
+    /// Returns the hash that selects the nodes responsible for this request.
     pub fn routing_key(self) -> u64 {
         let (first, _) = self.0.split_at(size_of::<u64>());
-        first.iter().fold(0, |duty, byte| duty << 8 | u64::from(*byte))
+        first.iter().fold(0, |key, byte| key << 8 | u64::from(*byte))
     }
 
-    /// Reads a mark that was written with [`fmt::Display`].
+    /// Parses the output of [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         hex::read(text).map(Self)
     }
--- a/crates/portrack/src/gateway/quarantine/message.rs
+++ b/crates/portrack/src/gateway/quarantine/message.rs
@@ -1,21 +1,21 @@
-//! What nodes tell each other of requests that servers ended under.
+//! Messages between nodes about requests under which servers ended.
 
 use super::fingerprint::RequestFingerprint;
 use super::suspect_requests::HeldRequest;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Items in one datagram: 26 bytes each at most.
-pub const ITEMS: usize = 48;
+/// Maximum number of items in one datagram: each takes up to 26 bytes.
+pub const MAX_ITEMS: usize = 48;
 
-/// What nodes tell each other of such requests.
+/// A message about such requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineMessage {
     /// Servers ended under requests.
     Ended(Vec<EndReport>),
     /// Requests are held back.
     Held(Vec<HoldReport>),
-    /// Servers ran requests and live.
+    /// Requests were served.
     Served(Vec<RequestFingerprint>),
 }
 
@@ -23,9 +23,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
     /// The request.
-    pub mark: RequestFingerprint,
-    /// The server's life, by its mark.
-    pub life: u32,
+    #[serde(rename = "mark")]
+    pub fingerprint: RequestFingerprint,
+    /// The hash of the server's incarnation.
+    #[serde(rename = "life")]
+    pub incarnation: u32,
     /// How long ago it ended, in milliseconds.
     pub age_ms: u32,
 }
@@ -34,23 +36,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldReport {
     /// The request.
-    pub mark: RequestFingerprint,
+    #[serde(rename = "mark")]
+    pub fingerprint: RequestFingerprint,
     /// How many times it has been held back.
     pub number: u32,
-    /// For how much longer, in milliseconds.
+    /// The remaining time, in milliseconds.
     pub left_ms: u32,
 }
 
 impl From<HeldRequest> for HoldReport {
     fn from(held: HeldRequest) -> Self {
-        let left_ms = u32::try_from(held.left.as_millis()).unwrap_or(u32::MAX);
-        Self { mark: held.mark, number: held.number, left_ms }
+        let left_ms = u32::try_from(held.remaining.as_millis()).unwrap_or(u32::MAX);
+        Self { fingerprint: held.fingerprint, number: held.number, left_ms }
     }
 }
 
 impl From<HoldReport> for HeldRequest {
     fn from(report: HoldReport) -> Self {
-        let left = Duration::from_millis(report.left_ms.into());
-        Self { mark: report.mark, number: report.number, left }
+        let remaining = Duration::from_millis(report.left_ms.into());
+        Self { fingerprint: report.fingerprint, number: report.number, remaining }
     }
 }
--- a/crates/portrack/src/gateway/quarantine/state.rs
+++ b/crates/portrack/src/gateway/quarantine/state.rs
@@ -1,11 +1,12 @@
-//! What one node knows of requests that servers ended under, and tells the others. Without sockets.
+//! What one node knows of requests under which servers ended, and the messages it exchanges with
+//! other nodes. Without sockets.
 
+use super::announcements::{Announcement, AnnouncementQueue, pack_messages};
 use super::fingerprint::RequestFingerprint;
-use super::message::{EndReport, HoldReport, ITEMS, QuarantineMessage};
+use super::message::{EndReport, HoldReport, MAX_ITEMS, QuarantineMessage};
 use super::suspect_requests::{
     Cleared, CountOutcome, HeldRequest, SendVerdict, ServerEnd, SuspectRequests, Unrecorded,
 };
-use super::telling::{Telling, Told, messages};
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
 use crate::gateway::fleet::recipients::{Recipients, must_forward, writes_record};
 use crate::types::Time;
@@ -13,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Whom a change was learned from.
+/// The source of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeSource {
     /// Requests of this node.
@@ -25,7 +26,7 @@
 }
 
 impl ChangeSource {
-    /// The name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Requests => "requests",
@@ -35,12 +36,12 @@
     }
 }
 
-/// A change that operators want to know of.
+/// A change that is reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineChange {
     /// A request is held back from now on.
     Held(HeldRequest, ChangeSource),
-    /// It is not, and nothing is counted under it any more.
+    /// A request is no longer held back, and its counted ends are dropped.
     Cleared(RequestFingerprint, Cleared, ChangeSource),
 }
 
@@ -49,190 +50,224 @@
 pub struct QuarantineState {
     me: DaemonInfo,
     suspects: SuspectRequests,
-    telling: Telling,
+    announcements: AnnouncementQueue,
     changes: Vec<QuarantineChange>,
 }
 
 impl QuarantineState {
-    /// Knows of no request yet.
+    /// Creates a state without requests.
     pub fn new(me: DaemonInfo) -> Self {
         Self {
             me,
             suspects: SuspectRequests::default(),
-            telling: Telling::default(),
+            announcements: AnnouncementQueue::default(),
             changes: Vec::new(),
         }
     }
 
-    /// The requests that servers ended under.
+    /// Returns the requests under which servers ended.
     pub fn suspects(&self) -> &SuspectRequests {
         &self.suspects
     }
 
-    /// Whether a request may be sent.
-    pub fn verdict(&self, now: Time, mark: RequestFingerprint) -> SendVerdict {
-        self.suspects.verdict(now, mark)
+    /// Decides whether a request may be sent.
+    pub fn verdict(&self, now: Time, fingerprint: RequestFingerprint) -> SendVerdict {
+        self.suspects.verdict(now, fingerprint)
     }
 
-    /// What has changed since the last look.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<QuarantineChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// A server ended under a request of this node. Returns the ends counted under it; `None` if this one
-    /// was known.
-    pub fn ended(&mut self, now: Time, mark: RequestFingerprint, end: ServerEnd) -> Option<usize> {
-        let counted = self.suspects.count(now, mark, end);
+    /// Records the end of a server under a request of this node. Returns the ends counted under it;
+    /// `None` if this end was already known.
+    pub fn on_server_end(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+        end: ServerEnd,
+    ) -> Option<usize> {
+        let counted = self.suspects.count_end(now, fingerprint, end);
         if counted == CountOutcome::Known {
             return None;
         }
-        self.telling.add(now, Recipients::Assigned, Told::Ended(mark, end));
-        self.conclude(now, mark, counted);
-        Some(self.suspects.ends(mark))
+        self.announcements.add(now, Recipients::Assigned, Announcement::Ended(fingerprint, end));
+        self.after_count(now, fingerprint, counted);
+        Some(self.suspects.ends(fingerprint))
     }
 
-    fn conclude(&mut self, now: Time, mark: RequestFingerprint, counted: CountOutcome) {
+    fn after_count(&mut self, now: Time, fingerprint: RequestFingerprint, counted: CountOutcome) {
         match counted {
             CountOutcome::Known | CountOutcome::Ends(0 | 1) => {}
-            // Whoever serves it must know that this clears it.
+            // Every node that serves the request must know that this clears it.
             CountOutcome::Ends(_) => {
-                for end in self.suspects.ends_of(mark) {
-                    self.telling.add(now, Recipients::All, Told::Ended(mark, *end));
+                for end in self.suspects.ends_of(fingerprint) {
+                    self.announcements.add(
+                        now,
+                        Recipients::All,
+                        Announcement::Ended(fingerprint, *end),
+                    );
                 }
             }
-            CountOutcome::Held => self.tell_held(now, mark),
+            CountOutcome::Held => self.announce_hold(now, fingerprint),
         }
     }
 
-    fn tell_held(&mut self, now: Time, mark: RequestFingerprint) {
-        let Some(held) = self.suspects.held_request(now, mark) else { return };
-        self.telling.add(now, Recipients::All, Told::Held(held, now));
+    fn announce_hold(&mut self, now: Time, fingerprint: RequestFingerprint) {
+        let Some(held) = self.suspects.running_hold(now, fingerprint) else { return };
+        self.announcements.add(now, Recipients::All, Announcement::Held(held, now));
         self.changes.push(QuarantineChange::Held(held, ChangeSource::Requests));
     }
 
-    /// A server ran a request of this node to its end and lives. Returns the store's revision of its hold.
-    pub fn served(&mut self, now: Time, mark: RequestFingerprint) -> Option<u64> {
-        let cleared = self.suspects.clear(mark)?;
-        self.telling.add(now, Recipients::All, Told::Served(mark));
-        self.changes.push(QuarantineChange::Cleared(mark, cleared, ChangeSource::Requests));
+    /// Records that a server ran a request of this node to its end. Returns the store's revision of
+    /// its hold.
+    pub fn on_served(&mut self, now: Time, fingerprint: RequestFingerprint) -> Option<u64> {
+        let cleared = self.suspects.clear(fingerprint)?;
+        self.announcements.add(now, Recipients::All, Announcement::Served(fingerprint));
+        self.changes.push(QuarantineChange::Cleared(fingerprint, cleared, ChangeSource::Requests));
         cleared.revision
     }
 
-    /// Takes in what another node tells.
-    pub fn hear(&mut self, now: Time, message: QuarantineMessage, daemons: &Daemons) {
+    /// Handles a message from another node.
+    pub fn receive(&mut self, now: Time, message: QuarantineMessage, daemons: &Daemons) {
         match message {
             QuarantineMessage::Ended(all) => {
-                all.iter().for_each(|report| self.hear_ended(now, report, daemons));
+                all.iter().for_each(|report| self.receive_end(now, report, daemons));
             }
             QuarantineMessage::Held(all) => {
-                all.iter().for_each(|report| self.hear_held(now, *report, daemons));
+                all.iter().for_each(|report| self.receive_hold(now, *report, daemons));
             }
             QuarantineMessage::Served(all) => {
-                all.iter().for_each(|mark| self.hear_served(now, *mark, daemons));
+                all.iter().for_each(|fingerprint| self.receive_served(now, *fingerprint, daemons));
             }
         }
     }
 
-    fn hear_ended(&mut self, now: Time, report: &EndReport, daemons: &Daemons) {
+    fn receive_end(&mut self, now: Time, report: &EndReport, daemons: &Daemons) {
         let at = now - Duration::from_millis(report.age_ms.into());
-        let end = ServerEnd { life: report.life, at };
-        let counted = self.suspects.count(now, report.mark, end);
+        let end = ServerEnd { incarnation: report.incarnation, at };
+        let counted = self.suspects.count_end(now, report.fingerprint, end);
         if counted == CountOutcome::Held
-            || must_forward(daemons, &self.me, report.mark.routing_key())
+            || must_forward(daemons, &self.me, report.fingerprint.routing_key())
         {
-            self.conclude(now, report.mark, counted);
+            self.after_count(now, report.fingerprint, counted);
         }
     }
 
-    fn hear_held(&mut self, now: Time, report: HoldReport, daemons: &Daemons) {
+    fn receive_hold(&mut self, now: Time, report: HoldReport, daemons: &Daemons) {
         let held = HeldRequest::from(report);
-        if !self.suspects.hear(now, held) {
+        if !self.suspects.merge_hold(now, held) {
             return;
         }
-        if must_forward(daemons, &self.me, report.mark.routing_key()) {
-            self.telling.add(now, Recipients::All, Told::Held(held, now));
+        if must_forward(daemons, &self.me, report.fingerprint.routing_key()) {
+            self.announcements.add(now, Recipients::All, Announcement::Held(held, now));
         }
         self.changes.push(QuarantineChange::Held(held, ChangeSource::Peer));
     }
 
-    fn hear_served(&mut self, now: Time, mark: RequestFingerprint, daemons: &Daemons) {
-        self.telling.forget(mark);
-        let Some(cleared) = self.suspects.clear(mark) else { return };
-        if must_forward(daemons, &self.me, mark.routing_key()) {
-            self.telling.add(now, Recipients::All, Told::Served(mark));
+    fn receive_served(&mut self, now: Time, fingerprint: RequestFingerprint, daemons: &Daemons) {
+        self.announcements.forget(fingerprint);
+        let Some(cleared) = self.suspects.clear(fingerprint) else { return };
+        if must_forward(daemons, &self.me, fingerprint.routing_key()) {
+            self.announcements.add(now, Recipients::All, Announcement::Served(fingerprint));
         }
-        self.changes.push(QuarantineChange::Cleared(mark, cleared, ChangeSource::Peer));
+        self.changes.push(QuarantineChange::Cleared(fingerprint, cleared, ChangeSource::Peer));
     }
 
-    /// What is to be told now, and where.
+    /// Returns the messages that are due, with their addresses.
     pub fn due(&mut self, now: Time, daemons: &Daemons) -> Vec<(SocketAddr, QuarantineMessage)> {
-        let mut by_address: BTreeMap<SocketAddr, Vec<Told>> = BTreeMap::new();
-        for (audience, told) in self.telling.due(now) {
-            for to in audience.addresses(daemons, &self.me, told.mark().routing_key()) {
-                by_address.entry(to).or_default().push(told);
+        let mut by_address: BTreeMap<SocketAddr, Vec<Announcement>> = BTreeMap::new();
+        for (audience, announcement) in self.announcements.due(now) {
+            for to in
+                audience.addresses(daemons, &self.me, announcement.fingerprint().routing_key())
+            {
+                by_address.entry(to).or_default().push(announcement);
             }
         }
         let all = by_address.into_iter();
-        all.flat_map(|(to, told)| messages(now, &told).into_iter().map(move |m| (to, m))).collect()
+        all.flat_map(|(to, announcements)| {
+            pack_messages(now, &announcements).into_iter().map(move |m| (to, m))
+        })
+        .collect()
     }
 
-    /// What a node is told that has just come up, or is heard again: it has missed what the others know.
-    pub fn introduction(&self, now: Time) -> Vec<QuarantineMessage> {
-        let held = self.suspects.held(now).into_iter().map(|held| Told::Held(held, now));
-        let ends = self.suspects.all_ends().map(|(mark, end)| Told::Ended(mark, end));
-        let told: Vec<Told> = held.take(ITEMS).chain(ends.take(ITEMS)).collect();
-        messages(now, &told)
+    /// Returns the messages for a node that has just come up or is reachable again, and so has
+    /// missed what other nodes know.
+    pub fn snapshot(&self, now: Time) -> Vec<QuarantineMessage> {
+        let held =
+            self.suspects.running_holds(now).into_iter().map(|held| Announcement::Held(held, now));
+        let ends = self
+            .suspects
+            .all_ends()
+            .map(|(fingerprint, end)| Announcement::Ended(fingerprint, end));
+        let announcements: Vec<Announcement> =
+            held.take(MAX_ITEMS).chain(ends.take(MAX_ITEMS)).collect();
+        pack_messages(now, &announcements)
     }
 
-    /// The store has a hold.
-    pub fn recorded(&mut self, now: Time, mark: RequestFingerprint, number: u32, revision: u64) {
-        if !self.suspects.recorded(now, mark, number, revision) {
+    /// Records a hold that the store has.
+    pub fn on_recorded(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+        number: u32,
+        revision: u64,
+    ) {
+        if !self.suspects.on_recorded(now, fingerprint, number, revision) {
             return;
         }
-        if let Some(held) = self.suspects.held_request(now, mark) {
+        if let Some(held) = self.suspects.running_hold(now, fingerprint) {
             self.changes.push(QuarantineChange::Held(held, ChangeSource::Store));
         }
     }
 
-    /// The store has a hold no more: operators let the request go, or it was served.
-    pub fn record_gone(&mut self, mark: RequestFingerprint) {
-        if let Some(cleared) = self.suspects.record_gone(mark) {
-            self.telling.forget(mark);
-            self.changes.push(QuarantineChange::Cleared(mark, cleared, ChangeSource::Store));
+    /// Records that the store no longer has a hold: operators released the request, or it was
+    /// served.
+    pub fn on_record_removed(&mut self, fingerprint: RequestFingerprint) {
+        if let Some(cleared) = self.suspects.on_record_removed(fingerprint) {
+            self.announcements.forget(fingerprint);
+            self.changes.push(QuarantineChange::Cleared(fingerprint, cleared, ChangeSource::Store));
         }
     }
 
-    /// This node has claimed a hold of which it tries the request once.
-    pub fn claimed(&mut self, now: Time, mark: RequestFingerprint, number: u32, revision: u64) {
-        self.suspects.recorded(now, mark, number, revision);
-        self.tell_held(now, mark);
+    /// Records that this node has claimed a hold in order to try the request once.
+    pub fn on_trial_claimed(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+        number: u32,
+        revision: u64,
+    ) {
+        self.suspects.on_recorded(now, fingerprint, number, revision);
+        self.announce_hold(now, fingerprint);
     }
 
-    /// The store came back from a copy, and what it has is to be learned anew.
+    /// Handles a restored store: its holds have to be read again.
     pub fn store_came_back(&mut self) {
         self.suspects.store_came_back();
     }
 
-    /// Holds that this node has to write to the store.
+    /// Returns the holds that this node has to write to the store.
     pub fn to_record(&self, daemons: &Daemons) -> Vec<Unrecorded> {
         let mut all = self.suspects.unrecorded();
-        all.retain(|hold| self.keeps_record(hold.mark, daemons));
+        all.retain(|hold| self.keeps_record(hold.fingerprint, daemons));
         all
     }
 
-    /// True if this node writes and removes the store's record of a request.
-    pub fn keeps_record(&self, mark: RequestFingerprint, daemons: &Daemons) -> bool {
-        writes_record(daemons, &self.me, mark.routing_key())
+    /// Returns true if this node writes and removes the store's record of a request.
+    pub fn keeps_record(&self, fingerprint: RequestFingerprint, daemons: &Daemons) -> bool {
+        writes_record(daemons, &self.me, fingerprint.routing_key())
     }
 
-    /// Holds that this node has to remove from the store, with their revisions.
+    /// Returns the holds that this node has to remove from the store, with their revisions.
     pub fn to_remove(&self, now: Time, daemons: &Daemons) -> Vec<(RequestFingerprint, u64)> {
-        let mut all = self.suspects.outlived(now);
-        all.retain(|(mark, _)| self.keeps_record(*mark, daemons));
+        let mut all = self.suspects.expired_holds(now);
+        all.retain(|(fingerprint, _)| self.keeps_record(*fingerprint, daemons));
         all
     }
 
-    /// Forgets what counts no more.
+    /// Drops ends that have expired.
     pub fn sweep(&mut self, now: Time) {
         self.suspects.sweep(now);
     }
--- a/crates/portrack/src/gateway/quarantine/suspect_requests.rs
+++ b/crates/portrack/src/gateway/quarantine/suspect_requests.rs
@@ -1,92 +1,94 @@
-//! Which requests servers ended under, and which of them are held back. A state machine without sockets.
+//! Tracks requests under which servers ended, and decides which are held back. A state machine
+//! without sockets.
 
 use super::fingerprint::RequestFingerprint;
 use crate::types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A request is held back once servers have ended under it so many times: the users allow no more than
-/// three further sends once nodes can know of the third.
+/// Number of server ends after which a request is held back. At most three further sends are
+/// allowed once nodes can know of the third end.
 pub const MOST_ENDS: usize = 3;
-/// Servers that end within so short a time count once: those of a data hall that is lost or cut off break
-/// off together. A repeat that comes after an answer takes longer to get to a server and to end it.
-const SAME_EVENT: Duration = Duration::from_millis(100);
-/// A server's end is no evidence any more after this: an honest stream that runs for seconds, at servers of
-/// which each ends once in hours, is not held back.
-const END_COUNTS_FOR: Duration = Duration::from_secs(10 * 60);
-/// How long a request is held back for the first time. One that is innocent waits no longer for its trial.
+/// Server ends within this time count as one: servers of a data hall that is lost or cut off fail
+/// together. A retry after a response takes longer to reach a server and end it.
+const SAME_EVENT_WINDOW: Duration = Duration::from_millis(100);
+/// How long a server's end counts. Without a limit, a harmless stream that runs for seconds would
+/// be held back at servers each of which ends once in hours.
+const END_TTL: Duration = Duration::from_secs(10 * 60);
+/// Duration of the first hold. A harmless request waits no longer than this for its trial.
 const FIRST_HOLD: Duration = Duration::from_secs(2 * 60);
-/// Each time so many times longer: the third trial is over two hours after the third end, and trials are
-/// further sends too.
+/// Factor between the durations of successive holds. Trials are further sends too; with it, the
+/// third trial is more than two hours after the third end.
 const HOLD_GROWTH: u32 = 8;
-/// The longest hold.
-const LONGEST_HOLD: Duration = Duration::from_secs(24 * 60 * 60);
-/// A hold that is over and under which nothing came is forgotten after this, as the request has changed
-/// or its caller is gone.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60 * 60);
-/// Requests kept of which servers ended under one or two: some 120 bytes each, and up to 64 are at one server.
-/// Those with the fewest ends give way, the oldest first.
-const MOST_SUSPECTS: usize = 4_096;
-/// Requests held back at the same time; each has cost three servers. Those that end first give way.
-const MOST_HELD: usize = 1_024;
+/// Maximum duration of a hold.
+const MAX_HOLD: Duration = Duration::from_secs(24 * 60 * 60);
+/// A hold that is over and that no request has met for this long is dropped, as the request has
+/// changed or its caller is gone.
+const EXPIRED_HOLD_TTL: Duration = Duration::from_secs(60 * 60);
+/// Maximum number of requests with one or two ends: each takes about 120 bytes, and up to 64 run at
+/// one server. Those with the fewest ends are evicted first, the oldest of them before others.
+const MAX_SUSPECTS: usize = 4_096;
+/// Maximum number of requests held back at the same time; each has cost three servers. Those whose
+/// hold ends first are evicted first.
+const MAX_HELD: usize = 1_024;
 
 /// The end of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerEnd {
-    /// The life that ended, by its mark.
-    pub life: u32,
-    /// When.
+    /// The hash of the incarnation that ended.
+    pub incarnation: u32,
+    /// When it ended.
     pub at: Time,
 }
 
-/// What the end of a server under a request came to.
+/// The result of counting a server's end under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CountOutcome {
-    /// It was known already, or the request is held back anyway.
+    /// It was already counted, or the request is already held back.
     Known,
-    /// So many ends have been counted.
+    /// The number of ends counted so far.
     Ends(usize),
-    /// From now on the request is held back.
+    /// The request is held back from now on.
     Held,
 }
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendVerdict {
-    /// It may.
+    /// It may be sent.
     Allowed,
-    /// It may not for so long.
+    /// It is held back for this long.
     Held(Duration),
-    /// Its hold is over: one node may try it once, if the store takes its claim of the next hold.
+    /// Its hold is over: one node may try it once, if the store accepts its claim of the next hold.
     OnTrial(Trial),
 }
 
-/// A hold that is over, as the store has it.
+/// A hold that is over, as recorded in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trial {
     /// The store's revision of it.
     pub revision: u64,
-    /// The number of the hold that follows.
-    pub next: u32,
+    /// The number of the next hold.
+    pub next_number: u32,
 }
 
-/// A hold as nodes tell it each other.
+/// A hold as exchanged between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldRequest {
     /// The request.
-    pub mark: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// How many times it has been held back, this one included.
     pub number: u32,
-    /// For how much longer.
-    pub left: Duration,
+    /// The remaining time.
+    pub remaining: Duration,
 }
 
 /// What was known of a request that is cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cleared {
-    /// Ends under it.
+    /// The ends counted under it.
     pub ends: usize,
-    /// It was held back.
+    /// Whether it was held back.
     pub was_held: bool,
     /// The store's revision of the hold.
     pub revision: Option<u64>,
@@ -104,7 +106,7 @@
 
 impl Hold {
     fn new(now: Time, number: u32, revision: Option<u64>) -> Self {
-        Self { until: now + hold_span(number), number, revision, replaces: 0 }
+        Self { until: now + hold_duration(number), number, revision, replaces: 0 }
     }
 }
 
@@ -112,7 +114,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unrecorded {
     /// The request.
-    pub mark: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// How many times it has been held back, this one included.
     pub number: u32,
     /// The revision of what the store has in its place, 0 for nothing.
@@ -120,16 +122,16 @@
 }
 
 impl Hold {
-    /// The revision of what the store has under its key, 0 for nothing.
-    fn stored_at(&self) -> u64 {
+    /// Returns the revision of what the store has under its key, 0 for nothing.
+    fn store_revision(&self) -> u64 {
         self.revision.unwrap_or(self.replaces)
     }
 }
 
-/// How long the hold of a number lasts, counted from 1.
-fn hold_span(number: u32) -> Duration {
+/// Returns the duration of the hold with this number, counted from 1.
+fn hold_duration(number: u32) -> Duration {
     let growth = HOLD_GROWTH.saturating_pow(number.saturating_sub(1));
-    FIRST_HOLD.saturating_mul(growth).min(LONGEST_HOLD)
+    FIRST_HOLD.saturating_mul(growth).min(MAX_HOLD)
 }
 
 /// The requests under which servers ended.
@@ -140,41 +142,46 @@
 }
 
 impl SuspectRequests {
-    /// True if no server ended under any request.
+    /// Returns true if no server ended under any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.held.is_empty()
     }
 
-    /// True if no request is held back.
+    /// Returns true if no request is held back.
     pub fn has_no_holds(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// How many requests are held back.
+    /// Returns the number of requests held back.
     pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
-    /// How many ends of servers are counted under a request that is not held back.
-    pub fn ends(&self, mark: RequestFingerprint) -> usize {
-        self.suspects.get(&mark).map_or(0, |ends| events(ends))
+    /// Returns the number of server ends counted under a request that is not held back.
+    pub fn ends(&self, fingerprint: RequestFingerprint) -> usize {
+        self.suspects.get(&fingerprint).map_or(0, |ends| count_events(ends))
     }
 
     /// Counts the end of a server under a request.
-    pub fn count(&mut self, now: Time, mark: RequestFingerprint, end: ServerEnd) -> CountOutcome {
-        if self.held.contains_key(&mark) || now.since(end.at) >= END_COUNTS_FOR {
+    pub fn count_end(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+        end: ServerEnd,
+    ) -> CountOutcome {
+        if self.held.contains_key(&fingerprint) || now.since(end.at) >= END_TTL {
             return CountOutcome::Known;
         }
-        if !self.suspects.contains_key(&mark) && self.suspects.len() >= MOST_SUSPECTS {
-            self.drop_least();
+        if !self.suspects.contains_key(&fingerprint) && self.suspects.len() >= MAX_SUSPECTS {
+            self.evict_least();
         }
-        let ends = self.suspects.entry(mark).or_default();
-        ends.retain(|end| now.since(end.at) < END_COUNTS_FOR);
-        let (before, known) = (events(ends), ends.len());
-        note(ends, end);
-        let counted = events(ends);
+        let ends = self.suspects.entry(fingerprint).or_default();
+        ends.retain(|end| now.since(end.at) < END_TTL);
+        let (before, known) = (count_events(ends), ends.len());
+        merge_end(ends, end);
+        let counted = count_events(ends);
         if counted >= MOST_ENDS {
-            self.hold(mark, Hold::new(now, 1, None));
+            self.hold(fingerprint, Hold::new(now, 1, None));
             return CountOutcome::Held;
         }
         match ends.len() > known || counted > before {
@@ -183,63 +190,64 @@
         }
     }
 
-    fn drop_least(&mut self) {
-        let weight = |ends: &Vec<ServerEnd>| (events(ends), ends.last().map(|end| end.at));
+    fn evict_least(&mut self) {
+        let weight = |ends: &Vec<ServerEnd>| (count_events(ends), ends.last().map(|end| end.at));
         let least = self.suspects.iter().min_by_key(|(_, ends)| weight(ends));
-        if let Some(mark) = least.map(|(mark, _)| *mark) {
-            self.suspects.remove(&mark);
+        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&fingerprint);
         }
     }
 
-    fn hold(&mut self, mark: RequestFingerprint, hold: Hold) {
-        self.suspects.remove(&mark);
-        if !self.held.contains_key(&mark) && self.held.len() >= MOST_HELD {
+    fn hold(&mut self, fingerprint: RequestFingerprint, hold: Hold) {
+        self.suspects.remove(&fingerprint);
+        if !self.held.contains_key(&fingerprint) && self.held.len() >= MAX_HELD {
             let first = self.held.iter().min_by_key(|(_, hold)| hold.until);
-            if let Some(first) = first.map(|(mark, _)| *mark) {
+            if let Some(first) = first.map(|(fingerprint, _)| *fingerprint) {
                 self.held.remove(&first);
             }
         }
-        self.held.insert(mark, hold);
+        self.held.insert(fingerprint, hold);
     }
 
-    /// Takes in that another node holds a request back.
-    pub fn hear(&mut self, now: Time, heard: HeldRequest) -> bool {
-        let known = self.held.get(&heard.mark).map_or(0, |hold| hold.number);
-        if known >= heard.number {
+    /// Merges a hold of another node. Returns false if it is not newer than the known one.
+    pub fn merge_hold(&mut self, now: Time, received: HeldRequest) -> bool {
+        let known = self.held.get(&received.fingerprint).map_or(0, |hold| hold.number);
+        if known >= received.number {
             return false;
         }
-        let left = heard.left.min(hold_span(heard.number));
-        let replaces = self.held.get(&heard.mark).map_or(0, Hold::stored_at);
-        let hold = Hold { until: now + left, number: heard.number, revision: None, replaces };
-        self.hold(heard.mark, hold);
+        let remaining = received.remaining.min(hold_duration(received.number));
+        let replaces = self.held.get(&received.fingerprint).map_or(0, Hold::store_revision);
+        let hold =
+            Hold { until: now + remaining, number: received.number, revision: None, replaces };
+        self.hold(received.fingerprint, hold);
         true
     }
 
-    /// Takes in that the store has a hold; false if that is no news. Its time is counted from the first
-    /// that this node hears of it, since clocks differ.
-    pub fn recorded(
+    /// Records a hold that the store has; returns false if a hold was already known. Its time runs
+    /// from when this node first learns of it, since clocks differ.
+    pub fn on_recorded(
         &mut self,
         now: Time,
-        mark: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         number: u32,
         revision: u64,
     ) -> bool {
-        let known = self.held.get(&mark).copied();
+        let known = self.held.get(&fingerprint).copied();
         match known {
             Some(hold) if hold.revision.is_some_and(|known| known >= revision) => return false,
             Some(hold) if hold.number > number => {
-                self.hold(mark, Hold { replaces: hold.replaces.max(revision), ..hold });
+                self.hold(fingerprint, Hold { replaces: hold.replaces.max(revision), ..hold });
                 return false;
             }
             Some(hold) if hold.number == number => {
-                self.hold(mark, Hold { revision: Some(revision), ..hold });
+                self.hold(fingerprint, Hold { revision: Some(revision), ..hold });
             }
-            _ => self.hold(mark, Hold::new(now, number, Some(revision))),
+            _ => self.hold(fingerprint, Hold::new(now, number, Some(revision))),
         }
         known.is_none()
     }
 
-    /// The store came back from a copy: which holds it has, and at which revisions, is to be learned anew.
+    /// Handles a restored store: which holds it has, and at which revisions, has to be read again.
     pub fn store_came_back(&mut self) {
         for hold in self.held.values_mut() {
             hold.revision = None;
@@ -247,17 +255,17 @@
         }
     }
 
-    /// Takes in that the store has a hold no more.
-    pub fn record_gone(&mut self, mark: RequestFingerprint) -> Option<Cleared> {
-        // One that the store never had is not let go by this.
-        self.held.get(&mark)?.revision?;
-        self.clear(mark)
+    /// Records that the store no longer has a hold.
+    pub fn on_record_removed(&mut self, fingerprint: RequestFingerprint) -> Option<Cleared> {
+        // A hold that the store never had is not released by this.
+        self.held.get(&fingerprint)?.revision?;
+        self.clear(fingerprint)
     }
 
-    /// Takes in that a server has run a request and lives: it does not crash servers.
-    pub fn clear(&mut self, mark: RequestFingerprint) -> Option<Cleared> {
-        let ends = self.suspects.remove(&mark).map_or(0, |ends| events(&ends));
-        let hold = self.held.remove(&mark);
+    /// Records that a server ran the request to its end: it does not crash servers.
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> Option<Cleared> {
+        let ends = self.suspects.remove(&fingerprint).map_or(0, |ends| count_events(&ends));
+        let hold = self.held.remove(&fingerprint);
         (ends > 0 || hold.is_some()).then(|| Cleared {
             ends,
             was_held: hold.is_some(),
@@ -265,81 +273,88 @@
         })
     }
 
-    /// Whether a request may be sent.
-    pub fn verdict(&self, now: Time, mark: RequestFingerprint) -> SendVerdict {
-        let Some(hold) = self.held.get(&mark) else { return SendVerdict::Allowed };
+    /// Decides whether a request may be sent.
+    pub fn verdict(&self, now: Time, fingerprint: RequestFingerprint) -> SendVerdict {
+        let Some(hold) = self.held.get(&fingerprint) else { return SendVerdict::Allowed };
         match hold.revision {
             _ if now < hold.until => SendVerdict::Held(hold.until.since(now)),
-            Some(revision) => SendVerdict::OnTrial(Trial { revision, next: hold.number + 1 }),
-            // Without the store nobody can tell whether another node tries it.
+            Some(revision) => {
+                SendVerdict::OnTrial(Trial { revision, next_number: hold.number + 1 })
+            }
+            // Without the store, no node can tell whether another one tries the request.
             None => SendVerdict::Held(FIRST_HOLD),
         }
     }
 
-    /// Holds that the store does not have yet.
+    /// Returns the holds that the store does not have yet.
     pub fn unrecorded(&self) -> Vec<Unrecorded> {
         let all = self.held.iter().filter(|(_, hold)| hold.revision.is_none());
-        let unrecorded = |(mark, hold): (&RequestFingerprint, &Hold)| Unrecorded {
-            mark: *mark,
+        let unrecorded = |(fingerprint, hold): (&RequestFingerprint, &Hold)| Unrecorded {
+            fingerprint: *fingerprint,
             number: hold.number,
             replaces: hold.replaces,
         };
         all.map(unrecorded).collect()
     }
 
-    /// Holds that ended so long ago that they are to be forgotten, with the store's revisions.
-    pub fn outlived(&self, now: Time) -> Vec<(RequestFingerprint, u64)> {
-        let over = |hold: &Hold| now >= hold.until + FORGOTTEN_AFTER;
+    /// Returns the holds that were over long enough ago to be dropped, with their revisions in the
+    /// store.
+    pub fn expired_holds(&self, now: Time) -> Vec<(RequestFingerprint, u64)> {
+        let over = |hold: &Hold| now >= hold.until + EXPIRED_HOLD_TTL;
         let all = self.held.iter().filter(|(_, hold)| over(hold));
-        all.filter_map(|(mark, hold)| Some((*mark, hold.revision?))).collect()
+        all.filter_map(|(fingerprint, hold)| Some((*fingerprint, hold.revision?))).collect()
     }
 
-    /// Forgets ends that count no more.
+    /// Drops ends that no longer count.
     pub fn sweep(&mut self, now: Time) {
         self.suspects.retain(|_, ends| {
-            ends.retain(|end| now.since(end.at) < END_COUNTS_FOR);
+            ends.retain(|end| now.since(end.at) < END_TTL);
             !ends.is_empty()
         });
     }
 
-    /// The requests held back, as another node is told; those whose hold is over are in the store.
-    pub fn held(&self, now: Time) -> Vec<HeldRequest> {
-        self.held.keys().filter_map(|mark| self.held_request(now, *mark)).collect()
+    /// Returns the running holds, to be sent to another node; holds that are over can be read from
+    /// the store.
+    pub fn running_holds(&self, now: Time) -> Vec<HeldRequest> {
+        self.held.keys().filter_map(|fingerprint| self.running_hold(now, *fingerprint)).collect()
     }
 
-    /// The same of one request; `None` if it is not held back or its hold is over.
-    pub fn held_request(&self, now: Time, mark: RequestFingerprint) -> Option<HeldRequest> {
-        let hold = self.held.get(&mark).filter(|hold| now < hold.until)?;
-        Some(HeldRequest { mark, number: hold.number, left: hold.until.since(now) })
+    /// Returns the hold of one request; `None` if there is none or it is over.
+    pub fn running_hold(&self, now: Time, fingerprint: RequestFingerprint) -> Option<HeldRequest> {
+        let hold = self.held.get(&fingerprint).filter(|hold| now < hold.until)?;
+        Some(HeldRequest { fingerprint, number: hold.number, remaining: hold.until.since(now) })
     }
 
-    /// All ends that count, each with its request.
+    /// Iterates over all ends that count, with their requests.
     pub fn all_ends(&self) -> impl Iterator<Item = (RequestFingerprint, ServerEnd)> {
-        self.suspects.iter().flat_map(|(mark, ends)| ends.iter().map(|end| (*mark, *end)))
+        self.suspects
+            .iter()
+            .flat_map(|(fingerprint, ends)| ends.iter().map(|end| (*fingerprint, *end)))
     }
 
-    /// The ends that count under one request.
-    pub fn ends_of(&self, mark: RequestFingerprint) -> &[ServerEnd] {
-        self.suspects.get(&mark).map_or(&[], Vec::as_slice)
+    /// Returns the ends that count under one request.
+    pub fn ends_of(&self, fingerprint: RequestFingerprint) -> &[ServerEnd] {
+        self.suspects.get(&fingerprint).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Takes in an end, in order of time. One that is known was no later than anybody says: a node that stood still
-/// hears of it late, and takes it to have just been; two ends heard so would count once.
-fn note(ends: &mut Vec<ServerEnd>, end: ServerEnd) {
-    match ends.iter_mut().find(|known| known.life == end.life) {
+/// Adds an end, ordered by time. The earliest report of an end is the accurate one: a node that was
+/// suspended receives reports late and takes the ends to have just happened, and two ends received
+/// that way would count as one.
+fn merge_end(ends: &mut Vec<ServerEnd>, end: ServerEnd) {
+    match ends.iter_mut().find(|known| known.incarnation == end.incarnation) {
         Some(known) => known.at = known.at.min(end.at),
         None => ends.push(end),
     }
     ends.sort_by_key(|end| end.at);
 }
 
-/// How many events the ends of servers were, in order of time.
-fn events(ends: &[ServerEnd]) -> usize {
+/// Counts the events behind server ends, which are ordered by time.
+fn count_events(ends: &[ServerEnd]) -> usize {
     let mut counted = 0;
     let mut last: Option<Time> = None;
     for end in ends {
-        if last.is_none_or(|last| end.at.since(last) >= SAME_EVENT) {
+        if last.is_none_or(|last| end.at.since(last) >= SAME_EVENT_WINDOW) {
             counted += 1;
             last = Some(end.at);
         }
--- a/crates/portrack/src/gateway/regions/mod.rs
+++ b/crates/portrack/src/gateway/regions/mod.rs
@@ -1,9 +1,10 @@
-//! Where servers are, seen from this daemon: what the way to another region costs, who may serve a
-//! request at all, which regions are silent, and how many bytes go there.
+//! Regions as seen from this daemon: the network cost to a server, the regions in which a request
+//! may be served, which regions are silent, and the traffic between regions.
 //!
-//! In come data halls, the regions of the settings and the regions that routes and organisations allow;
-//! out go costs, yes or no, and counters. Where the settings name one region or none, nothing here
-//! changes a decision. A server outside the allowed regions of a request must never be let through.
+//! Inputs are data halls, the regions in the settings, and the regions that routes and
+//! organisations allow; outputs are costs, permissions and counters. If the settings name at most
+//! one region, this module changes no decision. A server outside the allowed regions of a request
+//! must never be permitted.
 
 pub(in crate::gateway) mod allowed;
 pub(in crate::gateway) mod locality;
--- a/crates/portrack/src/gateway/regions/silence.rs
+++ b/crates/portrack/src/gateway/regions/silence.rs
@@ -1,9 +1,9 @@
-//! Which regions are silent.
+//! Detects silent regions.
 
 use crate::gateway::fleet::regions::Regions;
 use std::rc::Rc;
 
-/// The other regions all of whose halls are among the silent ones.
+/// Returns the other regions whose halls are all silent.
 pub fn silent_regions(regions: &Regions, silent_halls: &[Rc<str>]) -> Vec<Rc<str>> {
     let others = regions.names().into_iter().filter(|region| *region != regions.own());
     let silent =
@@ -11,7 +11,7 @@
     silent.cloned().collect()
 }
 
-/// Logs each region that has fallen silent, and each that is heard again.
+/// Logs each region that has become silent and each that is heard again.
 pub fn log_silence_changes(regions: &Regions, before: &[Rc<str>], now: &[Rc<str>]) {
     let (before, now) = (silent_regions(regions, before), silent_regions(regions, now));
     for region in now.iter().filter(|region| !before.contains(region)) {
--- a/crates/portrack/src/gateway/regions/traffic.rs
+++ b/crates/portrack/src/gateway/regions/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that go to other regions, and the answers that come from there.
+//! Counts the bytes exchanged with other regions.
 
 use super::locality::Locality;
 use crate::gateway::fleet::daemons::Daemons;
@@ -8,40 +8,40 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Bytes between this daemon and other regions, by what they are.
+/// Bytes exchanged with other regions, by kind.
 #[derive(Debug)]
 pub struct RegionTraffic {
     locality: Rc<Locality>,
-    /// Where daemons of other regions hear datagrams.
-    far: RefCell<BTreeSet<SocketAddr>>,
+    /// Datagram addresses of the daemons in other regions.
+    remote_daemons: RefCell<BTreeSet<SocketAddr>>,
     bytes: IntCounterVec,
 }
 
 impl RegionTraffic {
-    /// Counts in `bytes`, by kind, for a daemon at `place`.
+    /// Creates counters in `bytes` for a daemon at `locality`.
     pub fn new(locality: Rc<Locality>, bytes: IntCounterVec) -> Self {
-        Self { locality, far: RefCell::default(), bytes }
+        Self { locality, remote_daemons: RefCell::default(), bytes }
     }
 
-    /// Updates which daemons there are.
+    /// Updates the known daemons.
     pub fn set_daemons(&self, daemons: &Daemons) {
-        let far = daemons.all().filter(|daemon| self.locality.is_remote(&daemon.hall));
-        self.far.replace(far.map(|daemon| daemon.address).collect());
+        let remote = daemons.all().filter(|daemon| self.locality.is_remote(&daemon.hall));
+        self.remote_daemons.replace(remote.map(|daemon| daemon.address).collect());
     }
 
-    /// True for a daemon that is known to be in another region.
+    /// Returns true for a daemon known to be in another region.
     pub fn is_remote(&self, daemon: SocketAddr) -> bool {
-        self.far.borrow().contains(&daemon)
+        self.remote_daemons.borrow().contains(&daemon)
     }
 
-    /// Counts bytes to or from a daemon.
+    /// Counts bytes exchanged with a daemon.
     pub fn count_daemon_bytes(&self, kind: &str, daemon: SocketAddr, bytes: usize) {
         if self.is_remote(daemon) {
             self.count(kind, bytes);
         }
     }
 
-    /// Counts bytes to or from a server in a hall.
+    /// Counts bytes exchanged with a server in a hall.
     pub fn count_server_bytes(&self, kind: &str, hall: &str, bytes: usize) {
         if self.locality.is_remote(hall) {
             self.count(kind, bytes);
--- a/crates/portrack/tests/gateway/cold.rs
+++ b/crates/portrack/tests/gateway/cold.rs
@@ -1,7 +1,7 @@
-//! Cold servers are spared: they are chosen as much less as they bear less.
+//! Cold servers get fewer requests, in proportion to their lower throughput.
 //!
-//! A hall whose servers came back cold together was idle, so everybody sent there, and each server got
-//! more requests a second than it bears.
+//! Guards against overload after a hall's servers restart together: the hall was idle, so all
+//! requests were sent there, and each server got more requests a second than it could handle.
 
 use crate::support::{backend, ms};
 use portrack::Time;
@@ -17,7 +17,7 @@
     (0..count).map(|n| Rc::new(backend(&format!("s{n}"), &[]))).collect()
 }
 
-/// The hall of the servers; all are of one region.
+/// The hall of the servers; there is only one region.
 fn locality() -> Locality {
     Locality::new("a", Regions::default())
 }
@@ -30,17 +30,20 @@
 }
 
 #[test]
-fn a_cold_server_weighs_what_it_bears_against_its_slots() {
+fn a_cold_servers_weight_is_its_slots_over_its_throughput() {
     let cold = ColdServer::new(Time(3_000), 24, 8.0);
-    assert!(cold.cost(Time(0), 0) > 1.0, "of two idle ones the warm one, also in another hall");
+    assert!(
+        cold.cost(Time(0), 0) > 1.0,
+        "of two idle servers the warm one is cheaper, even in another hall"
+    );
     assert!((cold.cost(Time(0), 5) - cold.cost(Time(0), 0) - 10.0).abs() < 1e-9);
     assert!(cold.cost(Time(3_000), 5).abs() < f64::EPSILON, "it is warm");
     let strong = ColdServer::new(Time(3_000), 4, 100.0);
-    assert!((strong.weight - 1.0).abs() < f64::EPSILON, "it bears more than it has slots");
+    assert!((strong.weight - 1.0).abs() < f64::EPSILON, "its throughput exceeds its slots");
 }
 
 #[test]
-fn a_cold_server_gets_as_much_less_than_a_warm_one_as_it_bears_less() {
+fn a_cold_server_gets_requests_in_proportion_to_its_throughput() {
     let all = servers(2);
     let loads = table(&["s1"]);
     let mut running = Vec::new();
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn where_all_are_cold_they_share_the_requests() {
+fn cold_servers_share_the_requests_if_all_are_cold() {
     let all = servers(6);
     let ids: Vec<&str> = all.iter().map(|backend| &*backend.id).collect();
     let loads = table(&ids);
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn a_cold_server_whose_time_is_over_is_one_like_others() {
+fn a_cold_server_is_warm_after_its_time() {
     let loads = table(&["s0"]);
     assert!(loads.is_cold(Time(0), "s0") && !loads.is_cold(Time(0), "s1"));
     let later = COLD.until + ms(1);
--- a/crates/portrack/tests/gateway/coldness.rs
+++ b/crates/portrack/tests/gateway/coldness.rs
@@ -1,4 +1,4 @@
-//! Which servers are taken for cold.
+//! Which servers are assumed to be cold.
 
 use crate::support::{backend, ms};
 use portrack::gateway::{
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn a_server_that_was_only_heard_of_is_cold_for_a_start() {
+fn a_server_known_only_indirectly_is_cold_for_the_length_of_a_start() {
     let mut coldness = ColdStartTracker::default();
-    assert!(coldness.is_cold(Time(0), "s1", Some(&START)), "nothing is known of it");
+    assert!(coldness.is_cold(Time(0), "s1", Some(&START)), "an unknown server");
     coldness.on_entry(Time(1_000), &server(1, Duration::ZERO), EntrySource::Indirect);
     assert!(coldness.is_cold(Time(3_999), "s1", Some(&START)));
     assert!(!coldness.is_cold(Time(4_000), "s1", Some(&START)));
@@ -24,18 +24,21 @@
 }
 
 #[test]
-fn a_warm_server_is_cold_again_when_it_says_so_or_has_started_anew() {
+fn a_warm_server_is_cold_again_when_it_reports_so_or_has_restarted() {
     let mut coldness = ColdStartTracker::default();
     coldness.on_entry(Time(0), &server(1, Duration::ZERO), EntrySource::Indirect);
     coldness.on_entry(Time(10_000), &server(1, ms(2_000)), EntrySource::Indirect);
     assert!(coldness.is_cold(Time(11_999), "s1", Some(&START)));
     assert!(!coldness.is_cold(Time(12_000), "s1", Some(&START)));
     coldness.on_entry(Time(20_000), &server(2, Duration::ZERO), EntrySource::Indirect);
-    assert!(coldness.is_cold(Time(22_999), "s1", Some(&START)), "a new life is in doubt");
+    assert!(
+        coldness.is_cold(Time(22_999), "s1", Some(&START)),
+        "a new incarnation is assumed to be cold"
+    );
 }
 
 #[test]
-fn a_later_word_does_not_shorten_what_was_told_and_a_doubt_begins_anew() {
+fn a_later_entry_does_not_shorten_a_cold_time_and_a_doubt_restarts_it() {
     let mut coldness = ColdStartTracker::default();
     coldness.on_entry(Time(0), &server(1, ms(9_000)), EntrySource::Indirect);
     coldness.on_entry(Time(1_000), &server(1, Duration::ZERO), EntrySource::Indirect);
@@ -45,24 +48,25 @@
     assert!(!coldness.is_cold(Time(33_000), "s1", Some(&START)));
 }
 
-/// After all daemons of a fleet had been killed, each took all servers for cold, although the store told
-/// that they were warm: callers were refused for four seconds.
+/// Guards against refusing callers for four seconds after all daemons of a fleet were killed: each
+/// assumed that all servers were cold, although the store reported them as warm.
 #[test]
-fn what_the_store_tells_of_a_server_leaves_no_doubt_until_there_is_a_reason() {
+fn a_store_entry_is_trusted_until_there_is_a_doubt() {
     let mut coldness = ColdStartTracker::default();
     coldness.on_entry(Time(0), &server(1, Duration::ZERO), EntrySource::Direct);
     assert!(!coldness.is_cold(Time(0), "s1", Some(&START)));
     coldness.on_entry(Time(5_000), &server(2, ms(2_500)), EntrySource::Direct);
-    assert!(coldness.is_cold(Time(7_499), "s1", Some(&START)), "started again, and says so");
+    assert!(coldness.is_cold(Time(7_499), "s1", Some(&START)), "restarted, and reports so");
     assert!(!coldness.is_cold(Time(7_500), "s1", Some(&START)));
     coldness.assume_cold(Time(9_000), "s1");
     assert!(coldness.is_cold(Time(11_999), "s1", Some(&START)));
 }
 
-/// A new life that a server's report told of took the remaining cold time of the life before, often none,
-/// so it counted as warm until its own entry came.
+/// Guards against taking a new incarnation, known only from a server's report, for warm until its
+/// own entry arrives: it inherited the former incarnation's remaining cold time, which often was
+/// zero.
 #[test]
-fn a_life_that_only_a_report_has_told_of_is_in_doubt() {
+fn an_incarnation_known_only_from_a_report_is_assumed_cold() {
     assert_eq!(EntrySource::of(SOURCE_REPORT), EntrySource::Indirect);
     assert_eq!(EntrySource::of(SOURCE_PEER), EntrySource::Indirect);
     assert_eq!(EntrySource::of("store"), EntrySource::Direct);
--- a/crates/portrack/tests/gateway/fetches.rs
+++ b/crates/portrack/tests/gateway/fetches.rs
@@ -1,41 +1,44 @@
-//! The limit of fetches follows the store.
+//! The fetch limit adapts to the weight store.
 
 use crate::support::ms;
 use portrack::gateway::FetchLimit;
 
-/// A store that serves `free` fetches at full speed and slows all down beyond. Returns how many
-/// run at once after a while.
-fn settle(free: f64) -> f64 {
+/// Simulates a store that serves `full_speed` fetches at full speed and slows all of them down
+/// beyond that. Returns the average concurrency once the limit has settled.
+fn settled_concurrency(full_speed: f64) -> f64 {
     let mut limit = FetchLimit::default();
     let mut running = 0;
     let mut sum = 0;
     for round in 0..600 {
-        while limit.take() {
+        while limit.try_acquire() {
             running += 1;
         }
         if round >= 300 {
             sum += running;
         }
-        let slow = (f64::from(running) / free).max(1.0);
-        limit.fetched(ms((250.0 * slow) as u64), 12);
+        let slow = (f64::from(running) / full_speed).max(1.0);
+        limit.record_fetch(ms((250.0 * slow) as u64), 12);
         running -= 1;
     }
     f64::from(sum) / 300.0
 }
 
 #[test]
-fn it_settles_near_what_the_store_serves_at_full_speed() {
-    for free in [2.0, 9.0, 20.0] {
-        let running = settle(free);
-        assert!(running >= free * 0.8 && running <= free * 1.8, "{free}: {running}");
+fn the_limit_settles_near_what_the_store_serves_at_full_speed() {
+    for full_speed in [2.0, 9.0, 20.0] {
+        let running = settled_concurrency(full_speed);
+        assert!(
+            running >= full_speed * 0.8 && running <= full_speed * 1.8,
+            "{full_speed}: {running}"
+        );
     }
 }
 
 #[test]
-fn places_are_given_back_and_the_expected_time_grows_with_the_queue() {
+fn permits_are_released_and_the_expected_time_grows_with_the_queue() {
     let mut limit = FetchLimit::default();
-    assert!(limit.take() && limit.take() && !limit.take());
+    assert!(limit.try_acquire() && limit.try_acquire() && !limit.try_acquire());
     assert!(limit.expected(8) > limit.expected(0));
-    limit.give_back();
-    assert!(limit.take());
+    limit.release();
+    assert!(limit.try_acquire());
 }
--- a/crates/portrack/tests/gateway/history.rs
+++ b/crates/portrack/tests/gateway/history.rs
@@ -1,5 +1,6 @@
-//! Several daemons claim one server over a store that loses leases early or comes back from a copy, while daemons
-//! pause and stop: whatever happens, two never order within the quiet time of each other.
+//! Random histories of several daemons that claim one server, while they pause and stop and the
+//! store loses leases early or is restored from a backup. Two daemons must never order the server
+//! within the quiet period of each other.
 
 use crate::support::ms;
 use portrack::Time;
@@ -15,10 +16,11 @@
 const QUIET_MS: u64 = 1_000;
 const STEP_MS: u64 = 50;
 const DAEMONS: usize = 3;
-/// Longer than any pause or cut, what is kept after a return, and a successor's wait.
+/// Longer than any pause or partition, the retention period after a restore, and a successor's
+/// wait.
 const CALM_MS: u64 = 20_000;
 
-/// The store: one record, and who has a living lease.
+/// The store: one record and the live leases.
 #[derive(Default, Clone)]
 struct Store {
     era: u64,
@@ -28,7 +30,7 @@
 }
 
 impl Store {
-    fn lapse(&mut self, now: u64) {
+    fn expire(&mut self, now: u64) {
         self.leases.retain(|(_, _, until)| *until > now);
     }
 
@@ -58,8 +60,8 @@
 }
 
 impl Store {
-    /// One in which the server was ordered before: in a copy without any record nothing tells a daemon that has just
-    /// started from one of a fleet that never ran.
+    /// A store in which the server was ordered before. In a backup without any record, nothing
+    /// distinguishes a daemon that has just started from one of a fleet that never ran.
     fn ordered_once() -> Self {
         let era = StoreEra::from_number(0);
         let eras = RecordEras { written: era, first: era };
@@ -67,8 +69,8 @@
         Self { revision: 1, record: Some((1, record)), ..Self::default() }
     }
 
-    /// Comes back from a copy: leases that the copy has run on from now.
-    fn come_back(&mut self, now: u64, copy: Self) {
+    /// Restores a backup. Its leases run from now.
+    fn restore(&mut self, now: u64, copy: Self) {
         let era = self.era + 1;
         *self = Self { era, ..copy };
         self.leases.iter_mut().for_each(|(_, _, until)| *until = now + TTL_MS);
@@ -80,10 +82,10 @@
     paused_until: u64,
     lease: Option<u64>,
     eras: EraTracker,
-    /// The record as it was last read.
+    /// The record as last read.
     seen: Option<ClaimRecord>,
-    /// The record as it was known in a former era, if that is believed.
-    kept: Option<ClaimRecord>,
+    /// The record known from an earlier era, while it is retained.
+    retained: Option<ClaimRecord>,
 }
 
 #[derive(Debug, Clone)]
@@ -92,15 +94,15 @@
     Revoke(usize),
     Restart(usize),
     CutOff(usize, u64),
-    /// A planned stop: the server is given up.
+    /// A planned stop, which releases the server.
     Stop(usize),
     Wait(u64),
-    /// The store comes back from a copy that is so old.
-    Return(u64),
+    /// The store is restored from a backup of this age.
+    Restore(u64),
 }
 
-fn event_or_return() -> impl Strategy<Value = Event> {
-    prop_oneof![4 => event(), 1 => (50_u64..6_000).prop_map(Event::Return)]
+fn event_or_restore() -> impl Strategy<Value = Event> {
+    prop_oneof![4 => event(), 1 => (50_u64..6_000).prop_map(Event::Restore)]
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -121,7 +123,7 @@
         lease: None,
         eras: EraTracker::default(),
         seen: None,
-        kept: None,
+        retained: None,
     }
 }
 
@@ -129,39 +131,39 @@
     format!("d{daemon}")
 }
 
-/// What a daemon does of its own accord in one step, as the claiming task does it.
-fn act(now: u64, who: usize, daemon: &mut Daemon, store: &mut Store) {
+/// One step of a daemon's claiming task.
+fn run_step(now: u64, who: usize, daemon: &mut Daemon, store: &mut Store) {
     let server: Rc<str> = "s".into();
-    see_era(now, daemon, store);
+    update_era(now, daemon, store);
     let eras = RecordEras { written: daemon.eras.era(), first: daemon.eras.first() };
     if let Some(lease) = daemon.lease {
         if store.renew(now, lease) {
-            daemon.claims.renewed(lease, Time(now));
+            daemon.claims.extend_lease(lease, Time(now));
         } else {
-            daemon.claims.lapsed();
+            daemon.claims.clear_lease();
             daemon.lease = None;
         }
     }
-    let held = believed(now, daemon, store);
+    let held = assumed_record(now, daemon, store);
     if daemon.lease.is_none() {
         let ours = daemon.claims.all().next().map(|(_, claim)| claim.revision);
         if let Some(fence) = ours
             && held.as_ref().map(|(revision, _)| *revision) != Some(fence)
         {
-            daemon.claims.dropped(&server);
+            daemon.claims.remove(&server);
         }
         let lease = store.grant(now, who);
-        daemon.claims.leased(lease, Time(now));
+        daemon.claims.set_lease(lease, Time(now));
         daemon.lease = Some(lease);
         return;
     }
-    if daemon.claims.has(&server) {
+    if daemon.claims.contains(&server) {
         let due = daemon.claims.all().next().map(|(_, claim)| *claim);
-        if let Some(claim) = due.filter(|claim| !claim.settled && now >= claim.orders_from.0) {
+        if let Some(claim) = due.filter(|claim| !claim.settled && now >= claim.may_order_from.0) {
             let record =
                 ClaimRecord { machine: machine(who), settled: true, resigned: false, eras };
             if let Some(revision) = store.write(claim.revision, record) {
-                daemon.claims.settled(&server, revision);
+                daemon.claims.mark_settled(&server, revision);
             }
         }
         return;
@@ -182,12 +184,12 @@
     let settled = before == Predecessor::None;
     let record = ClaimRecord { machine, settled, resigned: false, eras };
     if let Some(fence) = store.write(expected, record) {
-        daemon.claims.claimed(Time(now), &server, fence, before);
+        daemon.claims.add(Time(now), &server, fence, before);
     }
 }
 
-/// What a daemon takes from an answer's era, and from the record that it reads.
-fn see_era(now: u64, daemon: &mut Daemon, store: &Store) {
+/// Applies the era of a reply and of the record that was read.
+fn update_era(now: u64, daemon: &mut Daemon, store: &Store) {
     let era = StoreEra::from_number(store.era);
     let is_first = !daemon.eras.era().is_known();
     let record = store.record.as_ref().map(|(_, record)| record);
@@ -195,7 +197,7 @@
         daemon.claims.store_came_back(Time(now));
         daemon.lease = None;
         let is_new = record.is_some_and(|record| record.eras.written == era);
-        daemon.kept = daemon.seen.clone().filter(|_| !is_new);
+        daemon.retained = daemon.seen.clone().filter(|_| !is_new);
     }
     if let Some(record) = record {
         daemon.eras.learn_first(record.eras.first);
@@ -209,34 +211,34 @@
     }
 }
 
-/// Daemons hear each other's heartbeats.
-fn hear_others(now: u64, who: usize, daemons: &mut [Daemon]) {
+/// Exchanges heartbeats with the other daemons.
+fn receive_heartbeats(now: u64, who: usize, daemons: &mut [Daemon]) {
     let others = daemons.iter().enumerate();
     let others = others.filter(|(other, daemon)| *other != who && daemon.paused_until <= now);
     let reports: Vec<_> = others.map(|(_, daemon)| daemon.eras.report(Time(now), 0)).collect();
     reports.iter().for_each(|report| daemons[who].eras.hear(Time(now), report));
 }
 
-/// The record that a daemon believes in, at the store's revision.
-fn believed(now: u64, daemon: &mut Daemon, store: &Store) -> Option<(u64, ClaimRecord)> {
+/// The record that a daemon assumes, at the store's revision.
+fn assumed_record(now: u64, daemon: &mut Daemon, store: &Store) -> Option<(u64, ClaimRecord)> {
     let is_new = store
         .record
         .as_ref()
         .is_some_and(|(_, record)| record.eras.written == StoreEra::from_number(store.era));
     let is_over = daemon.eras.age(Time(now)).is_some_and(|age| age >= RETENTION_PERIOD);
     if is_new || is_over {
-        daemon.kept = None;
+        daemon.retained = None;
     }
     let revision = store.record.as_ref().map_or(0, |(revision, _)| *revision);
     let stored = store.record.as_ref().map(|(_, record)| record.clone());
-    let record = daemon.kept.clone().or(stored)?;
+    let record = daemon.retained.clone().or(stored)?;
     daemon.seen = Some(record.clone());
     Some((revision, record))
 }
 
-/// A daemon gives the server up and starts again, as a planned stop does it.
+/// A planned stop: the daemon releases the server and restarts.
 fn stop(now: u64, who: usize, daemon: &mut Daemon, store: &mut Store) {
-    see_era(now, daemon, store);
+    update_era(now, daemon, store);
     let eras = RecordEras { written: daemon.eras.era(), first: daemon.eras.first() };
     if let Some((_, claim)) = daemon.claims.all().next() {
         let (revision, settled) = (claim.revision, claim.settled);
@@ -246,17 +248,14 @@
     *daemon = new_daemon();
 }
 
-/// Plays a history, and checks the orders that the server got.
-fn no_two_order_within_the_quiet_time(
-    mut store: Store,
-    events: Vec<Event>,
-) -> Result<(), TestCaseError> {
+/// Plays a history and checks the orders that the server got.
+fn check_quiet_period(mut store: Store, events: Vec<Event>) -> Result<(), TestCaseError> {
     let mut daemons: Vec<Daemon> = (0..DAEMONS).map(|_| new_daemon()).collect();
     let mut cut_until = [0_u64; DAEMONS];
     let mut orders: Vec<(u64, usize, u64)> = Vec::new();
     let mut copies: Vec<(u64, Store)> = Vec::new();
     let mut now = 1_000;
-    // Whatever happened, somebody orders again once all is calm.
+    // After a calm period, some daemon must be sending orders again.
     for event in events.into_iter().chain([Event::Wait(CALM_MS)]) {
         let mut span = STEP_MS;
         match event {
@@ -269,17 +268,17 @@
             Event::Stop(who) => daemons[who] = new_daemon(),
             Event::CutOff(who, length) => cut_until[who] = now + length,
             Event::Wait(length) => span = length,
-            Event::Return(lost) => {
-                let at = now.saturating_sub(lost);
+            Event::Restore(age) => {
+                let at = now.saturating_sub(age);
                 let copy = copies.iter().rev().find(|(taken, _)| *taken <= at);
                 let copy = copy.map_or_else(Store::ordered_once, |(_, copy)| copy.clone());
                 copies.clear();
-                store.come_back(now, copy);
+                store.restore(now, copy);
             }
         }
         let until = now + span;
         while now < until {
-            store.lapse(now);
+            store.expire(now);
             copies.push((now, store.clone()));
             for who in 0..DAEMONS {
                 let daemon = &mut daemons[who];
@@ -290,16 +289,16 @@
                     orders.push((now, who, fence));
                 }
                 if cut_until[who] <= now {
-                    see_era(now, daemon, &store);
-                    hear_others(now, who, &mut daemons);
-                    act(now, who, &mut daemons[who], &mut store);
+                    update_era(now, daemon, &store);
+                    receive_heartbeats(now, who, &mut daemons);
+                    run_step(now, who, &mut daemons[who], &mut store);
                 }
             }
             now += STEP_MS;
         }
     }
     let last = orders.last().map_or(0, |(at, ..)| *at);
-    prop_assert!(now - last <= 2 * STEP_MS, "nobody orders since {last} at {now}");
+    prop_assert!(now - last <= 2 * STEP_MS, "no orders since {last} at {now}");
     for pair in orders.windows(2) {
         let ((at, who, fence), (later, other, newer)) = (pair[0], pair[1]);
         if who == other {
@@ -315,14 +314,14 @@
     #![proptest_config(ProptestConfig { cases: 5_000, rng_seed: RngSeed::Fixed(20_261_202), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn two_daemons_never_order_within_the_quiet_time(events in proptest::collection::vec(event(), 1..25)) {
-        no_two_order_within_the_quiet_time(Store::default(), events)?;
+    fn two_daemons_never_order_within_the_quiet_period(events in proptest::collection::vec(event(), 1..25)) {
+        check_quiet_period(Store::default(), events)?;
     }
 
     #[test]
-    fn two_daemons_never_order_within_the_quiet_time_of_a_store_that_comes_back_from_copies(
-        events in proptest::collection::vec(event_or_return(), 1..25)
+    fn two_daemons_never_order_within_the_quiet_period_across_store_restores(
+        events in proptest::collection::vec(event_or_restore(), 1..25)
     ) {
-        no_two_order_within_the_quiet_time(Store::ordered_once(), events)?;
+        check_quiet_period(Store::ordered_once(), events)?;
     }
 }
--- a/crates/portrack/tests/gateway/marks.rs
+++ b/crates/portrack/tests/gateway/marks.rs
@@ -1,4 +1,4 @@
-//! Which tries count as the same request.
+//! Which attempts count as the same request.
 
 use portrack::gateway::{CallerIdentity, FingerprintInput, RequestFingerprint};
 
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn tries_of_a_request_have_the_same_mark() {
+fn retries_of_a_request_have_the_same_fingerprint() {
     assert_eq!(RequestFingerprint::of(&request()), RequestFingerprint::of(&request()));
 }
 
 #[test]
-fn whatever_differs_makes_another_request() {
+fn any_difference_makes_another_fingerprint() {
     let others = [
         FingerprintInput { caller: CallerIdentity::Organisation("o2"), ..request() },
         FingerprintInput { caller: CallerIdentity::Unknown, ..request() },
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_mark_can_be_written_and_read_again() {
-    let mark = RequestFingerprint::of(&request());
-    let text = mark.to_string();
-    assert_eq!(RequestFingerprint::parse(&text), Some(mark));
+fn a_fingerprint_round_trips_through_text() {
+    let fingerprint = RequestFingerprint::of(&request());
+    let text = fingerprint.to_string();
+    assert_eq!(RequestFingerprint::parse(&text), Some(fingerprint));
     assert_eq!(text.len(), 32);
     assert!(!text.contains("ask"));
     for bad in ["", "00", &"g".repeat(32), &"é".repeat(16), &text[1..]] {
