--- a/crates/portrack/tests/gateway/planner.rs
+++ b/crates/portrack/tests/gateway/planner.rs
@@ -1,4 +1,4 @@
-//! What is loaded where, and what makes way.
+//! Which adapters the planner loads and evicts.
 
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a fetch is expected to last before one was seen.
+/// The initial estimate of a fetch.
 const FETCH: Duration = Duration::from_millis(290);
 
 fn report(held: &[(&str, u64)]) -> ServerReport {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A planner with one surveyed server of four places.
+/// A planner with one server of four slots whose report was read.
 fn planner(held: &[(&str, u64)]) -> (Planner, Rc<str>) {
     let server: Rc<str> = "s1".into();
     let mut planner = Planner::default();
@@ -33,7 +33,7 @@
     (planner, server)
 }
 
-/// Where the daemon with a number hears datagrams.
+/// The datagram address of the daemon with this number.
 fn daemon(number: u16) -> SocketAddr {
     ([127, 0, 0, 1], number).into()
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_wish_becomes_one_load_and_then_a_holding() {
+fn a_load_request_is_planned_once_and_then_held() {
     let (mut planner, server) = planner(&[]);
     assert_eq!(
         planner.request_load(Time(10), &server, &key("a1"), 1, 1),
@@ -57,7 +57,7 @@
     let [plan] = &begun[..] else { panic!("one plan: {begun:?}") };
     assert_eq!(plan.load, PlannedLoad::Adapter(key("a1"), 1));
     assert!(plan.cold && plan.evict.is_none());
-    assert!(plans(&mut planner, 13, &server).is_empty(), "not twice");
+    assert!(plans(&mut planner, 13, &server).is_empty(), "the load is planned once");
     planner.ended(Time(300), plan, PlanOutcome::Done, Some(ms(280)));
     assert_eq!(
         planner.request_load(Time(310), &server, &key("a1"), 1, 1),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_server_is_not_ordered_before_its_report_was_read() {
+fn a_server_gets_no_orders_before_its_report_was_read() {
     let server: Rc<str> = "s1".into();
     let mut planner = Planner::default();
     planner.set_config(Time(0), config(5, 3.0));
@@ -79,30 +79,30 @@
 }
 
 #[test]
-fn one_place_always_stays_free_and_pending_loads_count() {
+fn one_slot_stays_free_and_pending_loads_count() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1)]);
     for name in ["b1", "b2", "b3", "b4"] {
         planner.request_load(Time(10_000), &server, &key(name), 1, 1);
     }
     let begun = plans(&mut planner, 10_001, &server);
     let evicting = begun.iter().filter(|plan| plan.evict.is_some()).count();
-    assert_eq!(begun.len() - evicting, 2, "two of five places were free besides the spare one");
+    assert_eq!(begun.len() - evicting, 2, "two of five slots were free besides the spare one");
     let again = plans(&mut planner, 10_002, &server);
-    assert!(begun.len() + again.len() <= 3, "three on the way at most");
+    assert!(begun.len() + again.len() <= 3, "at most three loads at the same time");
 }
 
 #[test]
-fn loads_of_a_report_count_as_pending() {
+fn loads_listed_in_a_report_count_as_pending() {
     let (mut planner, server) = planner(&[]);
-    let mut told = report(&[]);
-    told.pending = ["p1", "p2", "p3"].iter().map(|name| (key(name), 1)).collect();
-    planner.reported(Time(100), "s1", &told);
+    let mut listed = report(&[]);
+    listed.pending = ["p1", "p2", "p3"].iter().map(|name| (key(name), 1)).collect();
+    planner.reported(Time(100), "s1", &listed);
     planner.request_load(Time(110), &server, &key("a1"), 1, 1);
     assert!(plans(&mut planner, 120, &server).is_empty());
 }
 
 #[test]
-fn the_least_used_idle_adapter_makes_way() {
+fn the_least_used_idle_adapter_is_evicted() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     planner.record_use(Time(1_000), "s1", &key("a1"), 9);
@@ -111,38 +111,38 @@
     planner.set_running(Time(9_900), "s1", &key("a4"), daemon(1), true);
     planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
-    assert_eq!(begun[0].evict, Some(key("a2")), "a4 is asked for less but may be in use");
+    assert_eq!(begun[0].evict, Some(key("a2")), "a4 has less demand but may be in use");
 }
 
 #[test]
-fn a_place_is_free_once_the_last_daemon_that_uses_it_said_that_it_does_no_longer() {
+fn a_slot_is_evictable_once_no_daemon_uses_it() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     for (name, at) in [("a1", 9_900), ("a2", 9_900), ("a3", 9_900), ("a4", 9_900)] {
         planner.set_running(Time(at), "s1", &key(name), daemon(1), true);
     }
     planner.set_running(Time(9_910), "s1", &key("a2"), daemon(2), true);
     planner.set_running(Time(10_000), "s1", &key("a2"), daemon(1), false);
-    let wished = planner.request_load(Time(10_001), &server, &key("b1"), 1, 1);
-    assert_eq!(wished, LoadRequestAnswer::Refused, "another daemon uses a2 still");
+    let answer = planner.request_load(Time(10_001), &server, &key("b1"), 1, 1);
+    assert_eq!(answer, LoadRequestAnswer::Refused, "another daemon still uses a2");
     planner.set_running(Time(10_002), "s1", &key("a2"), daemon(2), false);
     planner.request_load(Time(10_003), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 10_004, &server)[0].evict, Some(key("a2")));
 }
 
 #[test]
-fn a_daemon_that_falls_silent_holds_no_place_for_ever() {
+fn a_silent_daemons_use_of_a_slot_expires() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     for name in ["a1", "a2", "a3", "a4"] {
         planner.set_running(Time(10_000), "s1", &key(name), daemon(1), true);
     }
-    let wished = planner.request_load(Time(11_400), &server, &key("b1"), 1, 1);
-    assert_eq!(wished, LoadRequestAnswer::Refused);
+    let answer = planner.request_load(Time(11_400), &server, &key("b1"), 1, 1);
+    assert_eq!(answer, LoadRequestAnswer::Refused);
     planner.request_load(Time(11_500), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 11_501, &server).len(), 1);
 }
 
 #[test]
-fn what_was_loaded_or_asked_for_a_moment_ago_does_not_make_way() {
+fn a_recently_loaded_or_requested_adapter_is_not_evicted() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1)]);
     planner.request_load(Time(10_000), &server, &key("a4"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
@@ -151,13 +151,13 @@
         planner.set_running(Time(10_300), "s1", &key(name), daemon(1), true);
     }
     let soon = planner.request_load(Time(10_400), &server, &key("b1"), 1, 1);
-    assert_eq!(soon, LoadRequestAnswer::Refused, "the requests for a4 are on their way");
+    assert_eq!(soon, LoadRequestAnswer::Refused, "the requests for a4 are still to come");
     planner.request_load(Time(10_550), &server, &key("b1"), 1, 1);
     assert_eq!(plans(&mut planner, 10_551, &server)[0].evict, Some(key("a4")));
 }
 
 #[test]
-fn a_server_whose_adapters_are_all_in_use_refuses() {
+fn a_server_whose_adapters_are_all_in_use_refuses_load_requests() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     for (name, _) in held {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_outdated_adapter_makes_way_first() {
+fn an_outdated_adapter_is_evicted_first() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     planner.record_use(Time(1_000), "s1", &key("a1"), 50);
@@ -180,14 +180,14 @@
 }
 
 #[test]
-fn a_newer_version_at_a_full_server_takes_a_place_of_its_own_until_it_is_loaded() {
+fn a_newer_version_at_a_full_server_needs_its_own_slot_until_it_is_loaded() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     planner.record_use(Time(1_000), "s1", &key("a3"), 5);
     planner.record_use(Time(1_000), "s1", &key("a4"), 5);
     planner.request_load(Time(10_000), &server, &key("a1"), 2, 1);
     let begun = plans(&mut planner, 10_001, &server);
-    assert_eq!(begun[0].evict, Some(key("a2")), "another one makes way");
+    assert_eq!(begun[0].evict, Some(key("a2")), "another one is evicted");
     planner.evicted("s1", &key("a2"));
     planner.request_load(Time(10_010), &server, &key("b1"), 1, 1);
     let next = plans(&mut planner, 10_011, &server);
@@ -196,11 +196,11 @@
     planner.ended(Time(10_300), &begun[0], PlanOutcome::Done, Some(ms(280)));
     planner.reported(Time(11_500), "s1", &report(&[("a1", 2), ("a3", 1), ("a4", 1)]));
     planner.request_load(Time(11_600), &server, &key("b2"), 1, 1);
-    assert_eq!(plans(&mut planner, 11_601, &server)[0].evict, None, "one version, one place");
+    assert_eq!(plans(&mut planner, 11_601, &server)[0].evict, None, "one version needs one slot");
 }
 
 #[test]
-fn an_older_version_keeps_its_place_if_the_newer_one_was_not_ordered_after_all() {
+fn an_older_version_keeps_its_slot_if_the_newer_one_was_not_ordered() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     planner.request_load(Time(10_000), &server, &key("a1"), 2, 1);
     let begun = plans(&mut planner, 10_001, &server);
@@ -210,12 +210,16 @@
     for name in ["a1", "a3", "a4"] {
         planner.set_running(Time(10_006), "s1", &key(name), daemon(1), true);
     }
-    let wished = planner.request_load(Time(10_007), &server, &key("b1"), 1, 1);
-    assert_eq!(wished, LoadRequestAnswer::Refused, "four places, four adapters, one about to go");
+    let answer = planner.request_load(Time(10_007), &server, &key("b1"), 1, 1);
+    assert_eq!(
+        answer,
+        LoadRequestAnswer::Refused,
+        "all four slots are used, one of them being evicted"
+    );
 }
 
 #[test]
-fn a_place_is_promised_to_one_wish() {
+fn a_slot_is_reserved_for_one_load_request() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)]);
     for name in ["a1", "a2", "a3"] {
         planner.set_running(Time(10_000), "s1", &key(name), daemon(1), true);
@@ -223,13 +227,13 @@
     let first = planner.request_load(Time(10_001), &server, &key("b1"), 1, 1);
     assert_eq!(first, LoadRequestAnswer::Coming(FETCH));
     let second = planner.request_load(Time(10_002), &server, &key("b2"), 1, 1);
-    assert_eq!(second, LoadRequestAnswer::Refused, "the only place that can be had is promised");
+    assert_eq!(second, LoadRequestAnswer::Refused, "the only evictable slot is reserved");
     let again = planner.request_load(Time(10_003), &server, &key("b1"), 1, 1);
-    assert_eq!(again, LoadRequestAnswer::Coming(FETCH), "the same wish keeps its promise");
+    assert_eq!(again, LoadRequestAnswer::Coming(FETCH), "the same load request keeps its slot");
 }
 
 #[test]
-fn a_load_that_made_way_again_before_it_was_confirmed_is_over() {
+fn a_load_that_was_evicted_before_its_confirmation_is_superseded() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1), ("a3", 1)]);
     planner.request_load(Time(10_000), &server, &key("a4"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
@@ -237,22 +241,26 @@
     assert_eq!(progress(&planner), LoadProgress::Loading);
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     planner.reported(Time(11_000), "s1", &report(&held));
-    assert_eq!(progress(&planner), LoadProgress::Held, "a report tells it");
+    assert_eq!(progress(&planner), LoadProgress::Held, "a report lists it");
     for name in ["a1", "a2", "a3"] {
         planner.set_running(Time(11_900), "s1", &key(name), daemon(1), true);
     }
     planner.request_load(Time(12_000), &server, &key("b1"), 1, 1);
     let next = plans(&mut planner, 12_001, &server);
     assert_eq!(next[0].evict, Some(key("a4")));
-    assert_eq!(progress(&planner), LoadProgress::Over, "it is about to go");
+    assert_eq!(progress(&planner), LoadProgress::Superseded, "it is being evicted");
     planner.evicted("s1", &key("a4"));
-    assert_eq!(progress(&planner), LoadProgress::Over);
+    assert_eq!(progress(&planner), LoadProgress::Superseded);
     planner.ended(Time(12_100), &begun[0], PlanOutcome::Overtaken, None);
-    assert_eq!(progress(&planner), LoadProgress::Over, "the first step changes nothing any more");
+    assert_eq!(
+        progress(&planner),
+        LoadProgress::Superseded,
+        "the first step no longer changes the state"
+    );
 }
 
 #[test]
-fn a_wish_gets_the_newest_version_that_is_named() {
+fn a_load_request_gets_the_newest_announced_version() {
     let (mut planner, server) = planner(&[("a1", 1)]);
     planner.announce_version(&key("a1"), 3);
     assert_eq!(
@@ -264,7 +272,7 @@
 }
 
 #[test]
-fn after_an_order_without_an_answer_the_server_is_asked_first() {
+fn after_an_order_without_a_response_the_report_is_read_first() {
     let (mut planner, server) = planner(&[]);
     planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     let begun = plans(&mut planner, 11, &server);
@@ -274,11 +282,11 @@
     assert!(plans(&mut planner, 5_000, &server).is_empty());
     planner.reported(Time(5_010), "s1", &report(&[]));
     let (begun, _) = planner.plan(Time(5_020), std::slice::from_ref(&server));
-    assert!(begun.is_empty(), "the wish is too old by now");
+    assert!(begun.is_empty(), "the load request has expired");
 }
 
 #[test]
-fn wishes_that_cannot_be_met_are_given_up() {
+fn load_requests_that_cannot_be_met_are_given_up() {
     let (mut planner, server) = planner(&[]);
     planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     let (begun, given_up) = planner.plan(Time(2_100), &[]);
@@ -287,18 +295,18 @@
 }
 
 #[test]
-fn a_busy_server_keeps_the_wish() {
+fn a_busy_server_keeps_the_load_request() {
     let (mut planner, server) = planner(&[]);
     planner.request_load(Time(10), &server, &key("a1"), 1, 1);
     let begun = plans(&mut planner, 11, &server);
     planner.ended(Time(20), &begun[0], PlanOutcome::Busy, None);
     planner.reported(Time(30), "s1", &report(&[]));
-    assert!(plans(&mut planner, 40, &server).is_empty(), "left alone for a moment");
+    assert!(plans(&mut planner, 40, &server).is_empty(), "orders are paused");
     assert_eq!(plans(&mut planner, 200, &server).len(), 1);
 }
 
 #[test]
-fn base_models_go_to_empty_servers_within_the_stores_rate() {
+fn base_models_are_loaded_at_empty_servers_within_the_rate_limit() {
     let mut planner = Planner::default();
     planner.set_config(Time(0), config(5, 1.0));
     let servers: Vec<Rc<str>> = (0..8).map(|n| format!("s{n}").into()).collect();
@@ -316,7 +324,7 @@
 }
 
 #[test]
-fn a_draining_server_is_not_ordered() {
+fn a_draining_server_refuses_load_requests() {
     let (mut planner, server) = planner(&[]);
     let mut leaving = backend("s1", &[]);
     leaving.draining = true;
@@ -328,7 +336,7 @@
 }
 
 #[test]
-fn what_a_server_once_held_is_at_hand() {
+fn a_formerly_held_adapter_is_cached() {
     let (mut planner, server) = planner(&[("a1", 1)]);
     planner.evicted("s1", &key("a1"));
     planner.request_load(Time(20), &server, &key("a1"), 1, 1);
@@ -337,7 +345,7 @@
 }
 
 #[test]
-fn the_most_asked_for_goes_first_when_fetches_are_limited() {
+fn the_adapter_with_the_highest_demand_is_fetched_first() {
     let (mut planner, server) = planner(&[]);
     planner.request_load(Time(10), &server, &key("rare"), 1, 1);
     planner.request_load(Time(11), &server, &key("mid"), 1, 3);
@@ -347,27 +355,27 @@
     assert_eq!(
         loads,
         [&PlannedLoad::Adapter(key("hot"), 1), &PlannedLoad::Adapter(key("mid"), 1)],
-        "two at once to begin with"
+        "the initial limit is two"
     );
     let answer = planner.request_load(Time(14), &server, &key("rare"), 1, 1);
     let LoadRequestAnswer::Coming(after) = answer else { panic!("{answer:?}") };
-    assert!(after >= FETCH, "it waits for those on the way: {after:?}");
+    assert!(after >= FETCH, "it waits for the running fetches: {after:?}");
 }
 
 #[test]
-fn an_unload_that_waits_for_its_runs_keeps_the_place_taken() {
+fn an_unload_that_waits_for_running_requests_occupies_its_slot() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
     planner.ended(Time(10_010), &begun[0], PlanOutcome::InUse, None);
     let next = plans(&mut planner, 10_020, &server);
-    assert_ne!(next[0].evict, begun[0].evict, "another one makes way");
-    assert!(next[0].evict.is_some(), "the place is not free yet");
+    assert_ne!(next[0].evict, begun[0].evict, "another one is evicted");
+    assert!(next[0].evict.is_some(), "the slot is not free yet");
 }
 
 #[test]
-fn a_list_from_before_an_outage_takes_nothing_off_a_server_that_is_ordered_here() {
+fn an_outdated_store_entry_removes_nothing_from_a_server_that_is_ordered_here() {
     let (mut planner, server) = planner(&[("a1", 1), ("a2", 1)]);
     for (now, name) in [(10, "a3"), (20, "a4")] {
         planner.request_load(Time(now), &server, &key(name), 1, 1);
@@ -377,20 +385,24 @@
     planner.update_server(Time(12_000), &backend("s1", &[("a1", 1)]));
     planner.request_load(Time(12_010), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 12_011, &server);
-    assert!(begun[0].evict.is_some(), "all places are taken, whatever the list says");
+    assert!(begun[0].evict.is_some(), "all slots are used, whatever the entry says");
 }
 
 #[test]
-fn a_place_that_waits_for_its_runs_is_free_once_a_report_says_so() {
+fn a_slot_that_waits_for_running_requests_is_freed_by_a_report() {
     let held = [("a1", 1), ("a2", 1), ("a3", 1), ("a4", 1)];
     let (mut planner, server) = planner(&held);
     planner.request_load(Time(10_000), &server, &key("b1"), 1, 1);
     let begun = plans(&mut planner, 10_001, &server);
-    let victim = begun[0].evict.clone().expect("one makes way");
+    let victim = begun[0].evict.clone().expect("one is evicted");
     planner.ended(Time(10_010), &begun[0], PlanOutcome::InUse, None);
     assert!(planner.needing_survey(std::slice::from_ref(&server)).is_empty());
     planner.plan(Time(12_000), std::slice::from_ref(&server));
-    assert_eq!(planner.needing_survey(std::slice::from_ref(&server)).len(), 1, "it is asked again");
+    assert_eq!(
+        planner.needing_survey(std::slice::from_ref(&server)).len(),
+        1,
+        "its report is read again"
+    );
     let left: Vec<(&str, u64)> =
         held.iter().copied().filter(|(n, _)| *n != &*victim.adapter).collect();
     planner.reported(Time(12_100), "s1", &report(&left));
@@ -400,7 +412,7 @@
 }
 
 #[test]
-fn loads_without_an_answer_that_a_report_tells_as_held_are_no_longer_pending() {
+fn loads_without_a_response_stop_pending_once_a_report_lists_them_as_held() {
     let (mut planner, server) = planner(&[]);
     for (now, name) in [(10_000, "b1"), (13_000, "b2"), (16_000, "b3")] {
         planner.request_load(Time(now), &server, &key(name), 1, 1);
@@ -408,10 +420,10 @@
         planner.ended(Time(now + 700), &begun[0], PlanOutcome::Unknown, None);
     }
     planner.invalidate_survey("s1");
-    let told = report(&[("b1", 1), ("b2", 1), ("b3", 1)]);
-    planner.reported(Time(20_000), "s1", &told);
+    let listed = report(&[("b1", 1), ("b2", 1), ("b3", 1)]);
+    planner.reported(Time(20_000), "s1", &listed);
     planner.request_load(Time(20_010), &server, &key("c1"), 1, 1);
-    assert_eq!(plans(&mut planner, 20_020, &server).len(), 1, "nothing is on the way there");
+    assert_eq!(plans(&mut planner, 20_020, &server).len(), 1, "no load is pending there");
 }
 
 #[test]
@@ -421,23 +433,27 @@
     let begun = plans(&mut planner, 11, &server);
     assert_eq!(begun[0].load, PlannedLoad::Adapter(key("a1"), 2));
     planner.ended(Time(700), &begun[0], PlanOutcome::Unknown, None);
-    let mut told = report(&[("a1", 1)]);
-    told.pending = vec![(key("a1"), 2)];
-    planner.reported(Time(3_000), "s1", &told);
+    let mut listed = report(&[("a1", 1)]);
+    listed.pending = vec![(key("a1"), 2)];
+    planner.reported(Time(3_000), "s1", &listed);
     planner.request_load(Time(3_010), &server, &key("a1"), 2, 1);
-    assert!(plans(&mut planner, 3_020, &server).is_empty(), "it is on the way");
+    assert!(plans(&mut planner, 3_020, &server).is_empty(), "it is being loaded");
     planner.reported(Time(4_000), "s1", &report(&[("a1", 1)]));
     planner.request_load(Time(4_010), &server, &key("a1"), 2, 1);
-    assert_eq!(plans(&mut planner, 4_020, &server).len(), 1, "it is not: it is ordered again");
+    assert_eq!(
+        plans(&mut planner, 4_020, &server).len(),
+        1,
+        "it is not being loaded: it is ordered again"
+    );
 }
 
 #[test]
-fn the_pace_of_an_adapter_follows_its_requests_within_a_second() {
+fn the_request_rate_of_an_adapter_adapts_within_a_second() {
     let (mut planner, server) = planner(&[("a1", 1)]);
     for step in 0..20 {
         planner.record_use(Time(1_000 + step * 50), &server, &key("a1"), 1);
     }
-    let pace = |now| planner.request_rates(Time(now), &server)[0].1;
-    assert!((10.0..20.0).contains(&pace(2_000)), "{}", pace(2_000));
-    assert!(pace(5_000) < 1.0, "demand has moved on");
+    let rate = |now| planner.request_rates(Time(now), &server)[0].1;
+    assert!((10.0..20.0).contains(&rate(2_000)), "{}", rate(2_000));
+    assert!(rate(5_000) < 1.0, "the demand has faded");
 }
--- a/crates/portrack/tests/gateway/regions.rs
+++ b/crates/portrack/tests/gateway/regions.rs
@@ -1,4 +1,5 @@
-//! Halls of several regions: choice, homes, dispatchers_for, heartbeats, and where a request may be served.
+//! Data halls in several regions: server selection, load targets, dispatchers, heartbeats, and
+//! where a request may be served.
 
 use crate::support::{backend, key};
 use portrack::Time;
@@ -13,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Two regions of three halls each, seen from the first hall of the first.
+/// Two regions of three halls each, seen from the first hall of the first region.
 const HALLS: [(&str, &str); 6] = [
     ("n1", "north"),
     ("n2", "north"),
@@ -48,20 +49,20 @@
 }
 
 #[test]
-fn a_server_of_the_own_region_is_taken_unless_it_is_much_busier() {
+fn a_server_of_the_own_region_is_selected_unless_it_is_much_busier() {
     let loads = Rc::new(LoadTable::default());
     let (near, far) = (server("near", "n2"), server("far", "s1"));
     let both = [far.clone(), near.clone()];
     let choose =
         || cheapest(Time(10), &loads, &locality(), &[], both.iter()).expect("a server").id.clone();
     let _some = busy(&loads, &near, 3);
-    assert_eq!(choose(), near.id, "the way costs more than three requests");
+    assert_eq!(choose(), near.id, "the network cost exceeds three requests");
     let _more = busy(&loads, &near, 10);
     assert_eq!(choose(), far.id);
 }
 
 #[test]
-fn with_late_loads_two_of_the_own_region_are_compared_while_one_is_sound_and_not_crowded() {
+fn with_delayed_loads_servers_of_the_own_region_are_selected_unless_all_are_crowded() {
     let loads = Rc::new(LoadTable::default());
     let near: Vec<_> = (0..3).map(|n| server(&format!("near{n}"), "n2")).collect();
     let far: Vec<_> = (0..30).map(|n| server(&format!("far{n}"), "s1")).collect();
@@ -76,13 +77,16 @@
     let chosen = choose(&[]);
     assert!(chosen.len() > 1 && chosen.is_subset(&near_ids), "{chosen:?}");
     let _crowd: Vec<_> = near.iter().map(|server| busy(&loads, server, 33)).collect();
-    assert!(choose(&[]).iter().any(|id| !near_ids.contains(id)), "all near ones are crowded");
+    assert!(
+        choose(&[]).iter().any(|id| !near_ids.contains(id)),
+        "all servers of the own region are crowded"
+    );
     let tried: Vec<Rc<str>> = near_ids.iter().cloned().collect();
-    assert!(choose(&tried).len() > 10, "others where the own ones were tried");
+    assert!(choose(&tried).len() > 10, "remote servers once those of the own region were tried");
 }
 
 #[test]
-fn own_servers_in_trouble_leave_the_request_to_others() {
+fn crowded_servers_of_the_own_region_lose_to_remote_ones() {
     let near = ScoredServer { cost: 90.0, is_near: true, is_crowded: true };
     let far = ScoredServer { cost: 5.0, is_near: false, is_crowded: false };
     assert_eq!(better_of_two("r1", &[far, near]), 0);
@@ -91,9 +95,9 @@
 }
 
 proptest! {
-    /// Fleets of one region, or of none that is named, choose as if there were no regions.
+    /// Fleets with one region or none select servers as if there were no regions.
     #[test]
-    fn one_region_changes_no_choice(
+    fn a_single_region_changes_no_selection(
         requests in proptest::collection::vec((0_usize..40, 0_usize..3), 1..12),
         id in "[a-z0-9]{8}",
         named in any::<bool>(),
@@ -119,13 +123,13 @@
 }
 
 fn homes(near: usize, far: usize) -> Vec<LoadTarget> {
-    let way = locality().network_cost("s1");
+    let network_cost = locality().network_cost("s1");
     let all = (0..near).map(|n| (format!("near{n}"), true));
     let all = all.chain((0..far).map(|n| (format!("far{n}"), false)));
     let home = |(server, is_near): (String, bool)| LoadTarget {
         server: server.into(),
         slots: 32,
-        cost: if is_near { 0.0 } else { way },
+        cost: if is_near { 0.0 } else { network_cost },
         is_cached: false,
         is_near,
     };
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn an_adapter_that_nobody_holds_is_loaded_in_the_region_that_asks() {
+fn an_adapter_without_a_holder_is_loaded_in_the_requesting_region() {
     let all = homes(4, 40);
     for n in 0..200 {
         let key = key(&format!("a{n}"));
@@ -149,7 +153,7 @@
 }
 
 #[test]
-fn a_copy_at_hand_in_the_other_region_spares_a_fetch() {
+fn a_cached_copy_in_the_other_region_saves_a_fetch() {
     let mut all = homes(4, 4);
     all[5].is_cached = true;
     assert_eq!(choose_load_target(&key("a1"), &all), Some(all[5].server.clone()));
@@ -179,10 +183,10 @@
 }
 
 #[test]
-fn each_region_has_a_dispatcher_and_the_own_one_is_asked_first_without_a_way() {
-    for duty in 0..20 {
+fn each_region_has_a_dispatcher_and_the_own_one_is_asked_first() {
+    for task in 0..20 {
         let asked =
-            dispatchers_for(duty, &locality(), &daemons(), &halls(&["s1", "n2", "n3"]), |_| true);
+            dispatchers_for(task, &locality(), &daemons(), &halls(&["s1", "n2", "n3"]), |_| true);
         assert_eq!(asked.len(), 2);
         assert_eq!(
             (region_of(asked[0].dispatcher), asked[0].extra_round_trip),
@@ -191,8 +195,11 @@
         assert_eq!(region_of(asked[1].dispatcher), "south");
         assert!(asked[1].extra_round_trip > Duration::ZERO);
         let from_south = Locality::new("s2", regions_of(&HALLS, "s2"));
-        let other = dispatchers_for(duty, &from_south, &daemons(), &halls(&["n2", "s1"]), |_| true);
-        assert_eq!(other[0].dispatcher, asked[1].dispatcher, "everybody knows the same ones");
+        let other = dispatchers_for(task, &from_south, &daemons(), &halls(&["n2", "s1"]), |_| true);
+        assert_eq!(
+            other[0].dispatcher, asked[1].dispatcher,
+            "all daemons select the same dispatchers"
+        );
         assert_eq!(other[1].dispatcher, asked[0].dispatcher);
     }
 }
@@ -210,7 +217,7 @@
 }
 
 #[test]
-fn one_region_has_the_one_dispatcher_that_it_always_had() {
+fn a_single_region_has_one_dispatcher() {
     let all: Vec<DaemonInfo> =
         (0..18).map(|n| daemon(n, ["n1", "n2"][usize::from(n) % 2])).collect();
     for regions in [Regions::default(), regions_of(&[("n1", "north"), ("n2", "north")], "n1")] {
@@ -225,9 +232,9 @@
     }
 }
 
-/// A server whose hall the settings do not name would belong to no dispatcher, or to two.
+/// Guards against a server in an unnamed hall that belongs to no dispatcher, or to two.
 #[test]
-fn the_servers_of_a_hall_that_is_not_named_have_one_dispatcher() {
+fn the_servers_of_an_unnamed_hall_have_one_dispatcher() {
     let north = regions_of(&HALLS, "n1");
     let south = regions_of(&HALLS, "s1");
     assert_eq!(north.responsible_region("new"), south.responsible_region("new"));
@@ -239,7 +246,7 @@
     ([10, 0, 0, last], 7_000).into()
 }
 
-fn hear(peers: &mut Peers, now: u64, last: u8, hall: &str) {
+fn receive_heartbeat(peers: &mut Peers, now: u64, last: u8, hall: &str) {
     let heartbeat = Heartbeat {
         node: format!("n{last}"),
         hall: hall.into(),
@@ -261,39 +268,43 @@
     peers.on_heartbeat(Time(now), heartbeat);
 }
 
-/// 76 daemons in six halls, heard at 0, and this one.
+/// This daemon and 76 others in six halls, all heard from at 0.
 fn fleet(regions: Regions) -> Peers {
     let mut peers = Peers::new(address(200), 100, Vec::new()).with_regions(regions);
-    (0..76).for_each(|last| hear(&mut peers, 0, last, HALLS[usize::from(last) % 6].0));
+    (0..76).for_each(|last| receive_heartbeat(&mut peers, 0, last, HALLS[usize::from(last) % 6].0));
     peers
 }
 
-/// Who gets how many of `beats` heartbeats.
-fn told(peers: &mut Peers, beats: usize) -> BTreeMap<SocketAddr, usize> {
-    let mut told = BTreeMap::new();
-    for _ in 0..beats {
+/// How many heartbeats each daemon gets in `rounds` rounds.
+fn heartbeats_sent(peers: &mut Peers, rounds: usize) -> BTreeMap<SocketAddr, usize> {
+    let mut heartbeats_sent = BTreeMap::new();
+    for _ in 0..rounds {
         let targets = peers.targets(Time(10));
         assert!(targets.len() <= 12, "{}", targets.len());
-        targets.into_iter().for_each(|target| *told.entry(target).or_default() += 1);
+        targets.into_iter().for_each(|target| *heartbeats_sent.entry(target).or_default() += 1);
     }
-    told
+    heartbeats_sent
 }
 
 #[test]
-fn daemons_of_the_own_region_get_more_heartbeats_than_others_and_all_get_some() {
-    let told = told(&mut fleet(regions()), 260);
-    assert_eq!(told.len(), 76, "nobody is left out");
+fn daemons_of_the_own_region_get_more_heartbeats_and_all_get_some() {
+    let heartbeats_sent = heartbeats_sent(&mut fleet(regions()), 260);
+    assert_eq!(heartbeats_sent.len(), 76, "no daemon is left out");
     let of = |region: &str| -> Vec<usize> {
-        told.iter().filter(|(to, _)| region_of(**to) == region).map(|(_, count)| *count).collect()
+        heartbeats_sent
+            .iter()
+            .filter(|(to, _)| region_of(**to) == region)
+            .map(|(_, count)| *count)
+            .collect()
     };
     let (near, far) = (of("north"), of("south"));
     let even = |counts: &[usize]| counts.iter().max().unwrap() - counts.iter().min().unwrap() <= 1;
-    assert!(even(&near) && even(&far), "in turn: {near:?} {far:?}");
+    assert!(even(&near) && even(&far), "evenly: {near:?} {far:?}");
     assert!(near[0] >= 2 * far[0], "{} and {}", near[0], far[0]);
 }
 
 #[test]
-fn where_there_is_one_region_heartbeats_go_round_as_ever() {
+fn a_single_region_does_not_change_the_heartbeat_order() {
     let turn = |regions: Regions| -> Vec<Vec<SocketAddr>> {
         let mut peers = fleet(regions);
         (0..20).map(|_| peers.targets(Time(10))).collect()
@@ -302,12 +313,13 @@
     assert_eq!(turn(regions_of(&one, "n1")), turn(Regions::default()));
 }
 
-/// Heartbeats from the other region come less often, so that what was silence there is none.
+/// Heartbeats from another region arrive less often, so a gap that means silence in the own region
+/// does not mean it there.
 #[test]
 fn a_daemon_of_the_other_region_is_up_for_five_of_its_own_rounds() {
     let mut peers = fleet(regions());
     let near_round = 39_u64.div_ceil(9) * 300;
-    // Theirs reach the 39 of this region and this daemon, three at a time.
+    // Each of their rounds reaches 40 daemons, the 39 of this region and this one, three at a time.
     let far_round = 40_u64.div_ceil(3) * 300;
     let up = |peers: &Peers, at: u64, region: &str| {
         peers.up(Time(at)).filter(|(_, peer)| region_of(peer.heartbeat.address) == region).count()
@@ -319,10 +331,10 @@
     assert!(peers.sweep(Time(5 * far_round + 300), Time(5 * far_round - 300)).len() > 30);
 }
 
-/// Heartbeats from there come each 4.2 s, and a machine that was not heard for 2.5 s counts as gone
-/// where its server is to be claimed.
+/// Heartbeats from another region arrive every 4.2 s, but a machine that was not heard from for 2.5
+/// s counts as gone when its servers are claimed.
 #[test]
-fn a_machine_of_the_other_region_is_heard_while_its_next_heartbeat_is_not_due() {
+fn a_machine_of_the_other_region_counts_as_heard_until_its_next_heartbeat_is_due() {
     let peers = fleet(regions());
     let within = |at: u64, machine: &str| {
         peers.heard_within(Time(at), machine, Duration::from_millis(2_500))
@@ -333,30 +345,32 @@
 }
 
 #[test]
-fn a_region_cut_off_is_silent_at_once_with_all_its_halls_and_heard_again_together() {
+fn a_region_that_is_cut_off_is_silent_with_all_its_halls() {
     let mut peers = fleet(regions());
-    let beats = |peers: &mut Peers, at: u64| {
-        (0..76).step_by(6).for_each(|last| hear(peers, at, last, "n1"))
+    let receive_own_hall = |peers: &mut Peers, at: u64| {
+        (0..76).step_by(6).for_each(|last| receive_heartbeat(peers, at, last, "n1"))
     };
-    beats(&mut peers, 800);
+    receive_own_hall(&mut peers, 800);
     assert!(peers.silent_halls(Time(850), "n1").is_empty());
-    (1..76).step_by(6).for_each(|last| hear(&mut peers, 900, last, "n2"));
-    (2..76).step_by(6).for_each(|last| hear(&mut peers, 900, last, "n3"));
-    beats(&mut peers, 1_000);
+    (1..76).step_by(6).for_each(|last| receive_heartbeat(&mut peers, 900, last, "n2"));
+    (2..76).step_by(6).for_each(|last| receive_heartbeat(&mut peers, 900, last, "n3"));
+    receive_own_hall(&mut peers, 1_000);
     let silent = peers.silent_halls(Time(1_200), "n1");
     assert_eq!(silent, halls(&["s1", "s2", "s3"]), "39 daemons should have been heard ten times");
     assert_eq!(silent_regions(&regions(), &silent), halls(&["south"]));
     assert!(silent_regions(&regions(), &silent[..2]).is_empty());
-    hear(&mut peers, 1_250, 3, "s1");
+    receive_heartbeat(&mut peers, 1_250, 3, "s1");
     assert!(!peers.silent_halls(Time(1_300), "n1").contains(&"s1".into()));
 }
 
 #[test]
-fn a_lone_silent_hall_of_the_other_region_is_told_apart_from_a_cut_region() {
+fn a_single_silent_hall_of_the_other_region_is_not_a_silent_region() {
     let mut peers = fleet(regions());
     for at in [800, 1_600, 2_400, 3_200, 3_600] {
         let heard = (0..76).filter(|last| last % 6 != 3);
-        heard.for_each(|last| hear(&mut peers, at, last, HALLS[usize::from(last) % 6].0));
+        heard.for_each(|last| {
+            receive_heartbeat(&mut peers, at, last, HALLS[usize::from(last) % 6].0)
+        });
     }
     assert_eq!(peers.silent_halls(Time(3_700), "n1"), halls(&["s1"]));
     assert!(silent_regions(&regions(), &halls(&["s1"])).is_empty());
@@ -367,7 +381,7 @@
 }
 
 #[test]
-fn route_and_organisation_both_bind_and_a_hall_without_a_region_is_in_none() {
+fn route_and_organisation_both_constrain_and_a_hall_without_a_region_is_in_none() {
     let (north, both, none) = (allowed(&["north"]), allowed(&["north", "south"]), allowed(&[]));
     let bounds = |route, organisation| RegionConstraints { route, organisation };
     let free = bounds(None, None);
@@ -379,8 +393,8 @@
     assert!(!bounds(Some(&both), Some(&north)).permits(&regions(), "s1"));
     assert!(!bounds(Some(&north), Some(&both)).permits(&regions(), "s1"));
     assert!(bounds(Some(&north), Some(&both)).permits(&regions(), "n3"));
-    assert!(!bounds(Some(&none), None).permits(&regions(), "n3"), "none is allowed");
-    assert!(!bounds(Some(&north), None).permits(&Regions::default(), "n3"), "none is known");
+    assert!(!bounds(Some(&none), None).permits(&regions(), "n3"), "no region is allowed");
+    assert!(!bounds(Some(&north), None).permits(&Regions::default(), "n3"), "no region is known");
 }
 
 fn some_regions() -> impl Strategy<Value = Option<BTreeSet<usize>>> {
@@ -390,9 +404,10 @@
 const NAMES: [&str; 3] = ["north", "south", "west"];
 
 proptest! {
-    /// However servers lie, and however often a request is sent again, none outside its regions gets it.
+    /// Wherever servers are and however often a request is retried, none outside its regions gets
+    /// it.
     #[test]
-    fn no_server_outside_is_ever_chosen(
+    fn no_server_outside_the_allowed_regions_is_selected(
         route in some_regions(),
         organisation in some_regions(),
         zones in proptest::collection::vec(proptest::option::of(0_usize..3), 6),
