--- a/crates/portrack/src/gateway/quarantine/record.rs
+++ b/crates/portrack/src/gateway/quarantine/record.rs
@@ -26,7 +26,7 @@
 
     /// Encodes the record for the store.
     pub fn bytes(&self) -> Vec<u8> {
-        postcard::to_allocvec(self).expect("a record can always be written")
+        postcard::to_allocvec(self).expect("encoding a record cannot fail")
     }
 
     /// Decodes a record; `None` if the bytes are not one.
--- a/crates/portrack/tests/gateway/regions.rs
+++ b/crates/portrack/tests/gateway/regions.rs
@@ -113,11 +113,11 @@
             .map(|(server, (work, hall))| (*work as f64 + f64::from(u8::from(*hall > 0)), server.id.clone()))
             .collect();
         costs.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-        let two = portrack::gateway::two_random_choices(&id, costs.len()).expect("some");
+        let two = portrack::gateway::two_random_choices(&id, costs.len()).expect("a server");
         let expected = costs[two[0].min(two[1])].1.clone();
-        let chosen = cheaper_of_two(Time(10), &loads, &locality, &id, &[], servers.iter()).expect("some");
+        let chosen = cheaper_of_two(Time(10), &loads, &locality, &id, &[], servers.iter()).expect("a server");
         prop_assert_eq!(&chosen.id, &expected);
-        let best = cheapest(Time(10), &loads, &locality, &[], servers.iter()).expect("some");
+        let best = cheapest(Time(10), &loads, &locality, &[], servers.iter()).expect("a server");
         prop_assert_eq!(&best.id, &costs[0].1);
     }
 }
@@ -141,7 +141,7 @@
     let all = homes(4, 40);
     for n in 0..200 {
         let key = key(&format!("a{n}"));
-        let chosen = choose_load_target(&key, &all).expect("a home");
+        let chosen = choose_load_target(&key, &all).expect("a load target");
         assert!(chosen.starts_with("near"), "{chosen}");
         assert_eq!(
             choose_load_target(&key, &all[..4]),
@@ -149,7 +149,7 @@
             "the other region's servers change nothing"
         );
     }
-    assert!(choose_load_target(&key("a1"), &all[4..]).expect("a home").starts_with("far"));
+    assert!(choose_load_target(&key("a1"), &all[4..]).expect("a load target").starts_with("far"));
 }
 
 #[test]
