--- a/crates/portrack/src/store/counted.rs
+++ b/crates/portrack/src/store/counted.rs
@@ -1,20 +1,21 @@
-//! A store whose calls are counted by kind. Every call has a price on the users' machines.
+//! A store whose calls are counted by kind, since every call has a cost on the users' machines.
 
-use super::feed::{KvChanges, KvOutcome, KvReadError, KvStore, KvTransaction};
 use super::kv::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
+use super::kv_store::{KvChanges, KvOutcome, KvReadError, KvStore, KvTransaction};
 use super::position::{StoreEra, StorePosition};
 use prometheus::IntCounterVec;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Hands every call on and counts it. A whole reading counts as one call, whatever its pages.
+/// Forwards every call and counts it. A complete read counts as one call, however many pages it
+/// takes.
 pub struct CountedStore {
     inner: Rc<dyn KvStore>,
     calls: IntCounterVec,
 }
 
 impl CountedStore {
-    /// Counts the calls to `inner` in `calls`, which has one label, the kind.
+    /// Counts the calls to `inner` in `calls`, which has one label, the kind of call.
     pub fn new(inner: Rc<dyn KvStore>, calls: IntCounterVec) -> Self {
         Self { inner, calls }
     }
--- a/crates/portrack/src/store/etcd.rs
+++ b/crates/portrack/src/store/etcd.rs
@@ -1,4 +1,4 @@
-//! The key-value service by the JSON gateway of etcd v3.
+//! A key-value client for the JSON gateway of etcd v3.
 
 use super::kv::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
 use crate::http::certainly_not_sent;
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest wait for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest answer taken, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// The largest response body accepted, in bytes.
+const MAX_BODY: usize = 64 * 1024 * 1024;
 
-/// A client of one endpoint.
+/// A client of one etcd endpoint.
 #[derive(Clone)]
 pub struct Etcd {
     client: awc::Client,
@@ -26,13 +26,13 @@
 }
 
 impl Etcd {
-    /// A client of `endpoint`, `http://host:port`.
+    /// Creates a client of `endpoint`, given as `http://host:port`.
     pub fn new(endpoint: impl Into<String>) -> Self {
         let client = awc::Client::builder().timeout(TIMEOUT).finish();
         Self { client, endpoint: endpoint.into(), calls: Rc::default() }
     }
 
-    /// Calls made so far, watches included.
+    /// The number of calls made so far, watches included.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
@@ -40,19 +40,19 @@
     async fn call(&self, path: &str, body: Value) -> Result<Value, KvError> {
         self.calls.set(self.calls.get() + 1);
         let url = format!("{}/v3/{path}", self.endpoint);
-        let mut response = self.client.post(url).send_json(&body).await.map_err(classify)?;
+        let mut response = self.client.post(url).send_json(&body).await.map_err(classify_error)?;
         if !response.status().is_success() {
             return Err(KvError::Unknown);
         }
-        let body = response.body().limit(MAX_ANSWER).await.map_err(|_| KvError::Unknown)?;
+        let body = response.body().limit(MAX_BODY).await.map_err(|_| KvError::Unknown)?;
         serde_json::from_slice(&body).map_err(|_| KvError::Unknown)
     }
 
     async fn range(&self, body: Value) -> Result<KvList, KvError> {
-        let answer = self.call("kv/range", body).await?;
-        let revision = number(&answer["header"]["revision"]).ok_or(KvError::Unknown)?;
-        let kvs = answer["kvs"].as_array().cloned().unwrap_or_default();
-        let entries = kvs.iter().map(held).collect::<Option<_>>().ok_or(KvError::Unknown)?;
+        let response = self.call("kv/range", body).await?;
+        let revision = parse_u64(&response["header"]["revision"]).ok_or(KvError::Unknown)?;
+        let kvs = response["kvs"].as_array().cloned().unwrap_or_default();
+        let entries = kvs.iter().map(parse_entry).collect::<Option<_>>().ok_or(KvError::Unknown)?;
         Ok(KvList { era: Default::default(), revision, entries })
     }
 
@@ -61,14 +61,14 @@
         self.commit(compare, puts.collect()).await
     }
 
-    /// Carries operations out if the comparison holds, and returns the new revision.
+    /// Commits operations if the comparison holds, and returns the new revision.
     async fn commit(&self, compare: Value, success: Vec<Value>) -> Result<Option<u64>, KvError> {
         let body = json!({ "compare": [compare], "success": success });
-        let answer = self.call("kv/txn", body).await?;
-        if answer["succeeded"] != json!(true) {
+        let response = self.call("kv/txn", body).await?;
+        if response["succeeded"] != json!(true) {
             return Ok(None);
         }
-        number(&answer["header"]["revision"]).map(Some).ok_or(KvError::Unknown)
+        parse_u64(&response["header"]["revision"]).map(Some).ok_or(KvError::Unknown)
     }
 
     async fn watch_once(
@@ -84,7 +84,7 @@
             "start_revision": revision.to_string(),
         }});
         let request = self.client.post(format!("{}/v3/watch", self.endpoint)).timeout(wait);
-        let mut response = request.send_json(&create).await.map_err(classify)?;
+        let mut response = request.send_json(&create).await.map_err(classify_error)?;
         if !response.status().is_success() {
             return Err(KvError::Unavailable);
         }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Reads lines of the watch until one has events.
+/// Reads lines of a watch until one contains events.
 async fn read_events<S>(response: &mut awc::ClientResponse<S>) -> Result<Vec<KvEntry>, KvError>
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
@@ -106,36 +106,37 @@
             let value: Value = serde_json::from_slice(&line).map_err(|_| KvError::Unavailable)?;
             let events = value["result"]["events"].as_array().cloned().unwrap_or_default();
             let puts = events.iter().filter(|event| event["type"] != json!("DELETE"));
-            let held: Vec<KvEntry> = puts.filter_map(|event| held(&event["kv"])).collect();
-            if !held.is_empty() {
-                return Ok(held);
+            let entries: Vec<KvEntry> =
+                puts.filter_map(|event| parse_entry(&event["kv"])).collect();
+            if !entries.is_empty() {
+                return Ok(entries);
             }
         }
     }
     Err(KvError::Unavailable)
 }
 
-/// A call whose connection never came about was certainly not carried out.
-fn classify(error: SendRequestError) -> KvError {
+/// A call whose connection was never established was certainly not executed.
+fn classify_error(error: SendRequestError) -> KvError {
     match certainly_not_sent(&error) {
         true => KvError::Unavailable,
         false => KvError::Unknown,
     }
 }
 
-/// The gateway writes 64-bit numbers as strings.
-fn number(value: &Value) -> Option<u64> {
+/// Parses a 64-bit number, which the JSON gateway writes as a string.
+fn parse_u64(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| value.as_str()?.parse().ok())
 }
 
-fn text(value: &Value) -> Option<Vec<u8>> {
+fn decode_base64(value: &Value) -> Option<Vec<u8>> {
     STANDARD.decode(value.as_str()?).ok()
 }
 
-fn held(kv: &Value) -> Option<KvEntry> {
-    let key = String::from_utf8(text(&kv["key"])?).ok()?;
-    let revision = number(&kv["mod_revision"])?;
-    let value = text(&kv["value"]).unwrap_or_default();
+fn parse_entry(kv: &Value) -> Option<KvEntry> {
+    let key = String::from_utf8(decode_base64(&kv["key"])?).ok()?;
+    let revision = parse_u64(&kv["mod_revision"])?;
+    let value = decode_base64(&kv["value"]).unwrap_or_default();
     Some(KvEntry { key, revision, value })
 }
 
@@ -148,7 +149,7 @@
     })
 }
 
-/// The first key after all that begin with `prefix`.
+/// The first key after all keys with `prefix`.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -198,15 +199,15 @@
     fn grant_lease(&self, ttl: Duration) -> LocalFuture<'_, Result<u64, KvError>> {
         Box::pin(async move {
             let body = json!({ "TTL": ttl.as_secs().max(1).to_string() });
-            let answer = self.call("lease/grant", body).await?;
-            number(&answer["ID"]).ok_or(KvError::Unknown)
+            let response = self.call("lease/grant", body).await?;
+            parse_u64(&response["ID"]).ok_or(KvError::Unknown)
         })
     }
 
     fn renew_lease(&self, lease: u64) -> LocalFuture<'_, Result<bool, KvError>> {
         Box::pin(async move {
-            let answer = self.call("lease/keepalive", json!({ "ID": lease.to_string() })).await?;
-            let ttl = number(&answer["result"]["TTL"]);
+            let response = self.call("lease/keepalive", json!({ "ID": lease.to_string() })).await?;
+            let ttl = parse_u64(&response["result"]["TTL"]);
             Ok(ttl.is_some_and(|ttl| ttl > 0))
         })
     }
--- a/crates/portrack/src/store/kv.rs
+++ b/crates/portrack/src/store/kv.rs
@@ -1,4 +1,4 @@
-//! What portrack needs of a key-value service.
+//! The interface of a key-value service.
 
 use super::position::StoreEra;
 use snafu::Snafu;
@@ -6,17 +6,17 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A future that stays on its thread.
+/// A boxed future that is not `Send`.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum KvError {
-    /// The call was certainly not carried out.
+    /// The call was certainly not executed.
     #[snafu(display("the key-value service is unavailable"))]
     Unavailable,
-    /// The call may have been carried out.
-    #[snafu(display("the key-value service did not answer"))]
+    /// The call may have been executed.
+    #[snafu(display("the key-value service did not respond"))]
     Unknown,
 }
 
@@ -31,18 +31,18 @@
     pub value: Vec<u8>,
 }
 
-/// Keys under a prefix.
+/// All keys under a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvList {
     /// The era that revisions count in.
     pub era: StoreEra,
-    /// The service's revision at the time.
+    /// The service's revision at the time of the read.
     pub revision: u64,
-    /// The keys.
+    /// The keys with their values.
     pub entries: Vec<KvEntry>,
 }
 
-/// One write of a transaction.
+/// A single write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvPut {
     /// The key.
@@ -53,14 +53,14 @@
 
 /// A key-value service with compare-and-swap, leases and watches. Each method is one call.
 pub trait Kv {
-    /// One key.
+    /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> LocalFuture<'a, Result<Option<KvEntry>, KvError>>;
 
-    /// All keys under a prefix.
+    /// Reads all keys under a prefix.
     fn list<'a>(&'a self, prefix: &'a str) -> LocalFuture<'a, Result<KvList, KvError>>;
 
-    /// Writes `puts` if `key` was last changed at `revision`, 0 for a key that is not there.
-    /// Returns the new revision, or `None` if another change came before.
+    /// Writes `puts` if `key` was last changed at `revision`, 0 for a key that must not exist.
+    /// Returns the new revision, or `None` if the key has changed since.
     fn swap<'a>(
         &'a self,
         key: &'a str,
@@ -68,7 +68,7 @@
         puts: Vec<KvPut>,
     ) -> LocalFuture<'a, Result<Option<u64>, KvError>>;
 
-    /// Waits up to `wait` for changes under a prefix from `revision` on.
+    /// Waits up to `wait` for changes under a prefix, starting at `revision`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -76,13 +76,14 @@
         wait: Duration,
     ) -> LocalFuture<'a, Result<Vec<KvEntry>, KvError>>;
 
-    /// A new lease that lapses `ttl` after its last renewal.
+    /// Creates a lease that expires `ttl` after its last renewal.
     fn grant_lease(&self, ttl: Duration) -> LocalFuture<'_, Result<u64, KvError>>;
 
-    /// Renews a lease. False if it has lapsed.
+    /// Renews a lease. Returns false if it has expired.
     fn renew_lease(&self, lease: u64) -> LocalFuture<'_, Result<bool, KvError>>;
 
-    /// Creates a key that vanishes with the lease. Returns its revision, or `None` if it exists.
+    /// Creates a key that is removed with the lease. Returns its revision, or `None` if it already
+    /// exists.
     fn create_leased<'a>(
         &'a self,
         key: &'a str,
@@ -90,9 +91,9 @@
         lease: u64,
     ) -> LocalFuture<'a, Result<Option<u64>, KvError>>;
 
-    /// Removes a key that was last changed at `revision`. False if it has changed since.
+    /// Removes a key that was last changed at `revision`. Returns false if it has changed since.
     fn remove<'a>(&'a self, key: &'a str, revision: u64) -> LocalFuture<'a, Result<bool, KvError>>;
 
-    /// Ends a lease and its keys at once.
+    /// Revokes a lease and removes its keys immediately.
     fn revoke_lease(&self, lease: u64) -> LocalFuture<'_, Result<(), KvError>>;
 }
--- a/crates/portrack/src/store/nodes.rs
+++ b/crates/portrack/src/store/nodes.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving nodes.
+//! A client of the platform's list of live and leaving nodes.
 
 use crate::membership::Peer;
 use crate::router::BackendServer;
@@ -7,12 +7,12 @@
 use snafu::Snafu;
 use std::time::Duration;
 
-/// The longest wait for the list.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest list taken, in bytes.
-const MAX_LIST: usize = 8 * 1024 * 1024;
+/// The largest response body accepted, in bytes.
+const MAX_BODY: usize = 8 * 1024 * 1024;
 
-/// The list.
+/// The node list.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NodeList {
     /// Model engines and plain services.
@@ -24,51 +24,52 @@
 }
 
 impl NodeList {
-    /// The daemons as peers.
+    /// The daemons of the list as peers.
     pub fn peers(&self) -> Vec<Peer> {
         self.daemons.iter().cloned().map(Peer::from).collect()
     }
 }
 
-/// Why the list could not be had.
+/// Why the node list could not be fetched.
 #[derive(Debug, Snafu)]
 pub enum NodeListError {
-    /// No answer.
-    #[snafu(display("the node list does not answer: {what}"))]
-    Away {
-        /// What the connection said.
-        what: String,
+    /// The request failed.
+    #[snafu(display("cannot fetch the node list: {reason}"))]
+    Unreachable {
+        /// The error of the connection, or the HTTP status.
+        reason: String,
     },
-    /// Not the list.
-    #[snafu(display("the node list is malformed: {what}"))]
+    /// The response is not a valid node list.
+    #[snafu(display("malformed node list: {reason}"))]
     Malformed {
-        /// What the decoder said.
-        what: String,
+        /// The error of the decoder.
+        reason: String,
     },
 }
 
-/// Reads the list over HTTP.
+/// Fetches the node list over HTTP.
 pub struct NodeListClient {
     client: awc::Client,
     url: String,
 }
 
 impl NodeListClient {
-    /// A client of the list at `url`.
+    /// Creates a client of the node list at `url`.
     pub fn new(url: impl Into<String>) -> Self {
         let client = awc::Client::builder().timeout(TIMEOUT).finish();
         Self { client, url: url.into() }
     }
 
-    /// The list now, which may lag.
+    /// Fetches the current node list, which may lag behind the platform.
     pub async fn fetch(&self) -> Result<NodeList, NodeListError> {
-        let away = |what: String| NodeListError::Away { what };
+        let unreachable = |reason: String| NodeListError::Unreachable { reason };
         let sent = self.client.get(&self.url).send().await;
-        let mut response = sent.map_err(|e| away(e.to_string()))?;
+        let mut response = sent.map_err(|e| unreachable(e.to_string()))?;
         if !response.status().is_success() {
-            return Err(away(response.status().to_string()));
+            return Err(unreachable(response.status().to_string()));
         }
-        let body = response.body().limit(MAX_LIST).await.map_err(|e| away(e.to_string()))?;
-        serde_json::from_slice(&body).map_err(|e| NodeListError::Malformed { what: e.to_string() })
+        let body = response.body().limit(MAX_BODY).await.map_err(|e| unreachable(e.to_string()))?;
+        serde_json::from_slice(&body)
+            .map_err(|e| NodeListError::Malformed { reason: e.to_string() })
     }
 }
--- a/crates/portrack/src/store/position.rs
+++ b/crates/portrack/src/store/position.rs
@@ -1,46 +1,46 @@
-//! Places in the store's history, which may break off: a store that comes back from an older copy counts its
-//! revisions on from there.
+//! Positions in the store's history. A store that is restored from an older copy starts a new era
+//! and continues counting revisions from that copy.
 
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::fmt;
 
-/// Which history of the store a revision belongs to; rises each time that it comes back from a copy.
+/// The history that a revision belongs to. Increases each time the store is restored from a copy.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreEra(u64);
 
 impl StoreEra {
-    /// Of a store that tells none, or has not told it yet; before all others.
+    /// The era of a store that reports none, or has not reported one yet. Precedes all others.
     pub const NONE: Self = Self(0);
 
-    /// The era that the store calls by this number.
+    /// The era that the store reports as this number.
     pub fn from_number(number: u64) -> Self {
         Self(number.saturating_add(1))
     }
 
-    /// True if the store tells its era.
+    /// Returns true if the store has reported its era.
     pub fn is_known(self) -> bool {
         self != Self::NONE
     }
 
-    /// How many times the store came back since an earlier era.
+    /// The number of restores since an earlier era.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
 impl fmt::Display for StoreEra {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.checked_sub(1) {
-            Some(number) => number.fmt(out),
-            None => out.write_str("none"),
+            Some(number) => number.fmt(f),
+            None => f.write_str("none"),
         }
     }
 }
 
-/// A revision of the store, with the era that it counts in. Of two positions the later one is greater.
+/// A revision of the store with its era. Positions are ordered by era, then by revision.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -52,57 +52,58 @@
 }
 
 impl StorePosition {
-    /// A revision in an era.
+    /// Creates the position of a revision in an era.
     pub fn new(era: StoreEra, revision: u64) -> Self {
         Self { era, revision }
     }
 }
 
 impl fmt::Display for StorePosition {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}/{}", self.era, self.revision)
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}", self.era, self.revision)
     }
 }
 
-/// What an answer of the store says of its era.
+/// What a response of the store reports about its era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedEra {
-    /// Nothing.
+    /// The response reports no era.
     Absent,
-    /// The answer is of this era.
+    /// The response is of this era.
     Valid(StoreEra),
-    /// Something that is no era.
+    /// The reported era is malformed.
     Invalid,
 }
 
-/// The eras that the answers of one store told. Answers overtake each other.
+/// The eras reported by the responses of one store. Responses may arrive out of order.
 #[derive(Debug, Default)]
 pub struct ObservedEras {
     newest: Cell<StoreEra>,
-    /// The last word was no era; logged once.
-    unreadable: Cell<bool>,
-    /// The last era was lower than the newest; logged once.
-    former: Cell<bool>,
+    /// The last reported era was malformed. Limits the warning to once in a row.
+    invalid: Cell<bool>,
+    /// The last reported era was older than the newest. Limits the warning to once in a row.
+    older: Cell<bool>,
 }
 
 impl ObservedEras {
-    /// The newest era that was told.
+    /// The newest era reported.
     pub fn newest(&self) -> StoreEra {
         self.newest.get()
     }
 
-    /// Takes in what an answer says, and tells which era it is of: the newest known, if it does not tell.
-    pub fn answered(&self, word: ReportedEra) -> StoreEra {
-        if word == ReportedEra::Invalid && !self.unreadable.replace(true) {
+    /// Records what a response reports, and returns the era of the response. Without a valid report
+    /// that is the newest era known.
+    pub fn answered(&self, reported: ReportedEra) -> StoreEra {
+        if reported == ReportedEra::Invalid && !self.invalid.replace(true) {
             log::warn!(era:% = self.newest.get(); "store_era_unreadable");
         }
-        let ReportedEra::Valid(era) = word else { return self.newest.get() };
-        self.unreadable.set(false);
-        let former = era < self.newest.get();
-        if former && !self.former.replace(former) {
+        let ReportedEra::Valid(era) = reported else { return self.newest.get() };
+        self.invalid.set(false);
+        let older = era < self.newest.get();
+        if older && !self.older.replace(older) {
             log::warn!(era:% = era, newest:% = self.newest.get(); "store_era_former");
         }
-        self.former.set(former);
+        self.older.set(older);
         self.newest.set(self.newest.get().max(era));
         era
     }
