--- a/crates/portrack/src/gateway/store_sync/era.rs
+++ b/crates/portrack/src/gateway/store_sync/era.rs
@@ -1,36 +1,38 @@
-//! Which history of the store this daemon is in, and since when. A store that comes back from an older copy
-//! begins a new one; all that was taken from it before has no place in that.
+//! Tracks which era of the store this daemon is in, and since when. A store that is restored from
+//! an older copy starts a new era, in which nothing read before is valid.
 
 use crate::store::StoreEra;
 use crate::types::Time;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Between the fences of two eras: more than the revisions that can be lost with one return, which are some seconds
-/// of writes.
+/// Distance between the fences of two eras. It exceeds the revisions that one restore can lose,
+/// which are some seconds of writes.
 const FENCE_STRIDE: u64 = 1 << 32;
-/// The most eras that fences tell apart: a fence stays within the 53 bits that every reader of numbers keeps.
-const MOST_FENCED: u64 = 1 << 20;
+/// The largest number of eras that fences distinguish. A fence then fits into 53 bits, which every
+/// number parser preserves.
+const MAX_FENCED_ERAS: u64 = 1 << 20;
 
-/// What a daemon tells others of the store's era, at the end of its heartbeat.
+/// A daemon's report on the store's era, at the end of its heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraReport {
-    /// The era of its news.
+    /// The era of its copy of the store.
     pub era: StoreEra,
-    /// The earliest era that is known of.
+    /// The earliest known era.
     pub first: StoreEra,
-    /// How long ago the first daemon noticed that this era had begun, in milliseconds; `None` if none saw it begin.
+    /// Milliseconds since the first daemon noticed the start of this era; `None` if no daemon
+    /// noticed it.
     pub began_ms: Option<u32>,
-    /// Items that it believes against the store's copy.
+    /// Number of items that it retains although the store's copy differs.
     pub kept: u16,
 }
 
-/// That the store came back.
+/// A restore of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EraChange {
-    /// The era before.
+    /// The previous era.
     pub before: StoreEra,
-    /// The era now.
+    /// The current era.
     pub era: StoreEra,
 }
 
@@ -40,23 +42,23 @@
     era: StoreEra,
     first: StoreEra,
     began_at: Option<Time>,
-    /// This daemon itself saw the store come back.
-    saw_return: bool,
+    /// This daemon itself observed the restore.
+    saw_restore: bool,
 }
 
 impl EraTracker {
-    /// The era.
+    /// The current era.
     pub fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// The earliest era that is known of.
+    /// The earliest known era.
     pub fn first(&self) -> StoreEra {
         self.first
     }
 
-    /// Takes in an era that an answer or a peer's news is of. The first one is no return, nor is one that was not
-    /// told before.
+    /// Records the era of a response or of a peer's update. The first known era does not count as a
+    /// restore.
     pub fn learn(&mut self, now: Time, era: StoreEra) -> Option<EraChange> {
         if era <= self.era {
             return None;
@@ -67,23 +69,23 @@
             return None;
         }
         self.began_at = Some(now);
-        self.saw_return = true;
+        self.saw_restore = true;
         Some(EraChange { before, era })
     }
 
-    /// Takes in an era that the store was in once.
+    /// Records an era that the store was in at some time.
     pub fn learn_first(&mut self, era: StoreEra) {
         if era.is_known() && (!self.first.is_known() || era < self.first) {
             self.first = era;
         }
     }
 
-    /// The store may have come back a moment ago, unseen by this daemon.
+    /// Records that the store may have been restored just now, unobserved by this daemon.
     pub fn may_have_begun(&mut self, now: Time) {
         self.began_at.get_or_insert(now);
     }
 
-    /// Takes in what another daemon tells: it may have noticed earlier.
+    /// Merges another daemon's report, which may have noticed the start of the era earlier.
     pub fn hear(&mut self, now: Time, report: &EraReport) {
         self.learn_first(report.first);
         let Some(began_ms) = report.began_ms.filter(|_| report.era == self.era) else { return };
@@ -91,35 +93,36 @@
         self.began_at = Some(self.began_at.map_or(began_at, |known| known.min(began_at)));
     }
 
-    /// When the first daemon noticed that the era had begun; `None` if nobody saw that.
+    /// When the first daemon noticed the start of the era; `None` if no daemon did.
     pub fn began_at(&self) -> Option<Time> {
         self.began_at
     }
 
-    /// How long ago the era is known to have begun at the latest; `None` if nobody saw that.
+    /// Time since the era is known to have started at the latest; `None` if no daemon noticed its
+    /// start.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.began_at.map(|at| now.since(at))
     }
 
-    /// For others.
+    /// The report for other daemons.
     pub fn report(&self, now: Time, kept: usize) -> EraReport {
         let began_ms = self.age(now).and_then(|age| u32::try_from(age.as_millis()).ok());
         let kept = u16::try_from(kept).unwrap_or(u16::MAX);
         EraReport { era: self.era, first: self.first, began_ms, kept }
     }
 
-    /// What is added to revisions to make fences. Revisions alone go back with the store, and servers that had seen a
-    /// higher fence would take no orders.
+    /// Added to revisions to make fences. Revisions alone go back when the store is restored, and
+    /// servers that had seen a higher fence would accept no orders.
     pub fn fence_base(&self) -> u64 {
-        self.era.since(self.first).min(MOST_FENCED) * FENCE_STRIDE
+        self.era.since(self.first).min(MAX_FENCED_ERAS) * FENCE_STRIDE
     }
 
-    /// The era of a peer's news. A build that does not tell it is taken to be in this daemon's, unless this one has
-    /// seen the store come back: then it may be in a former one.
-    pub fn resolve_peer_era(&self, told: StoreEra) -> Option<StoreEra> {
-        if told.is_known() {
-            return Some(told);
+    /// The era of a peer's update. A build that reports none is assumed to be in this daemon's era,
+    /// unless this daemon has observed a restore: then the peer may be in an earlier era.
+    pub fn resolve_peer_era(&self, reported: StoreEra) -> Option<StoreEra> {
+        if reported.is_known() {
+            return Some(reported);
         }
-        (!self.saw_return).then_some(self.era)
+        (!self.saw_restore).then_some(self.era)
     }
 }
--- a/crates/portrack/src/gateway/store_sync/follower_feed.rs
+++ b/crates/portrack/src/gateway/store_sync/follower_feed.rs
@@ -1,7 +1,7 @@
-//! What the daemons that watch the store pass on to the others of their data hall.
+//! Data that daemons watching the store send to their followers.
 //!
-//! Every watch of the store is a call with a price: 195 nodes that each watched made 6,000 calls in
-//! 48 s. Two daemons of each hall watch; the others follow one of them over a connection.
+//! Every watch of the store is a call that has a cost: 195 nodes that all watched made 6,000 calls
+//! in 48 s. Two daemons of each group watch; the others follow one of them over a connection.
 
 use super::era_delta::EraDelta;
 use super::mirror::MirrorItem;
@@ -15,148 +15,149 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Notices kept for followers that are behind; older ones are left to the store's list.
-const MOST_NOTICES: usize = 2_000;
+/// Notices kept for slow followers. Older ones reach them through the store's list.
+const MAX_NOTICES: usize = 2_000;
 
-/// What one daemon asks of another on a connection.
+/// A request from one daemon to another, the first message on a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(in crate::gateway) enum PeerAsk {
-    /// What changed after a revision, once.
+pub(in crate::gateway) enum PeerRequest {
+    /// Requests everything that changed after a revision, once.
     CatchUp {
-        /// The revision up to which the asker knows everything.
+        /// The revision up to which the requester's copy is complete.
         after: u64,
-        /// The era that this counts in.
+        /// The era that this revision counts in.
         #[serde(deserialize_with = "or_default")]
         era: StoreEra,
     },
-    /// The same, and then every change as it comes.
+    /// Requests the same, and then every further change as it happens.
     Follow {
-        /// The revision up to which the asker knows everything.
+        /// The revision up to which the requester's copy is complete.
         after: u64,
-        /// Its first question how fresh that is.
-        question: FreshnessQuestion,
+        /// The first freshness query.
+        question: FreshnessQuery,
         /// The era that the revision counts in.
         #[serde(deserialize_with = "or_default")]
         era: StoreEra,
     },
 }
 
-/// A follower's question how fresh its source's copy of the store is; the first comes with
-/// [`PeerAsk::Follow`], the others follow on the same connection.
+/// A follower's query for the freshness of its source's copy. The first one is part of
+/// [`PeerRequest::Follow`], later ones are sent on the same connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(in crate::gateway) struct FreshnessQuestion {
-    /// When it was sent, on the follower's clock.
+pub(in crate::gateway) struct FreshnessQuery {
+    /// When the query was sent, on the follower's clock.
     pub sent_at: Time,
 }
 
-/// A question as it was heard.
+/// A query with the time of its arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::gateway) struct HeardQuestion {
-    /// The question.
-    pub question: FreshnessQuestion,
-    /// When it came, on the clock of the daemon that was asked.
-    pub heard_at: Time,
+pub(in crate::gateway) struct ReceivedQuery {
+    /// The query.
+    pub query: FreshnessQuery,
+    /// When it arrived, on the clock of the daemon that received it.
+    pub received_at: Time,
 }
 
-/// How fresh the copy of the store is that a frame brings a follower up to.
+/// The freshness of the state that a frame brings a follower to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(in crate::gateway) struct Freshness {
-    /// The newest question that had come. The follower counts from its sending, so a frame that was
-    /// held up on its way proves nothing that is younger.
-    pub question: FreshnessQuestion,
-    /// The age of the sender's own proof when it had this question, in milliseconds.
+    /// The newest query received. The follower counts from the time at which it sent this query, so
+    /// a delayed frame does not make its copy seem fresher than it is.
+    pub question: FreshnessQuery,
+    /// The age of the sender's own proof when it received this query, in milliseconds.
     pub age_ms: u32,
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: u64,
 }
 
-/// What comes over a feed.
+/// A message of a feed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(in crate::gateway) enum FeedMessage {
-    /// News.
+    /// Changes.
     News(FeedFrame),
-    /// The sender does not watch, or does not any more: what it says of itself, then who is known to
-    /// watch. It is the last message.
+    /// The sender does not watch the store, or no longer does: its own report, then the reports of
+    /// known watchers. This is the last message.
     Redirect(Vec<SyncReport>),
 }
 
-/// News for a follower.
+/// Changes for a follower.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(in crate::gateway) struct FeedFrame {
-    /// The store's revision up to which the follower then knows everything.
+    /// The store's revision up to which the follower's copy is complete after this frame.
     pub revision: u64,
-    /// How long ago the store answered the sender, in milliseconds.
+    /// Milliseconds since the store last responded to the sender.
     pub store_age_ms: u32,
-    /// How fresh that is, if the sender can prove it.
+    /// How fresh this state is, if the sender can prove it.
     pub freshness: Option<Freshness>,
-    /// `items` are all there are: what is not among them is gone.
+    /// `items` is a complete snapshot: keys that it lacks have been removed.
     pub whole: bool,
-    /// What changed in the store.
+    /// Items that changed in the store.
     pub items: Vec<MirrorItem>,
-    /// What changed at servers.
+    /// State changes of servers.
     pub notices: Vec<PlacementNotice>,
-    /// How busy servers are.
+    /// Loads of servers.
     pub loads: Vec<ServerLoad>,
     /// The era that revisions count in.
     #[serde(deserialize_with = "or_default")]
     pub era: StoreEra,
-    /// Items that the sender believes against the store's copy, if they are news to the follower.
+    /// Items that the sender retains although the store's copy differs, if they have changed since
+    /// the last frame.
     #[serde(deserialize_with = "or_default")]
     pub kept: Vec<RetainedItem>,
-    /// How the follower comes into this era, if it is in the one before.
+    /// How a follower in the previous era gets into this era.
     #[serde(deserialize_with = "or_default")]
     pub step: Option<EraDelta>,
 }
 
-/// How far a follower has been told.
+/// The position of one follower in the feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::gateway) struct FeedPlace {
+pub(in crate::gateway) struct FeedCursor {
     notice: u64,
     load: u64,
 }
 
-/// Notices and loads for the followers of this daemon, each of which is told at its own pace.
+/// Notices and loads for this daemon's followers, each of which reads at its own pace.
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct FollowerFeed {
     notices: RefCell<VecDeque<PlacementNotice>>,
-    notices_before: Cell<u64>,
+    dropped_notices: Cell<u64>,
     loads: RefCell<BTreeMap<u32, (u64, ServerLoad)>>,
-    loads_told: Cell<u64>,
+    load_sequence: Cell<u64>,
 }
 
 impl FollowerFeed {
-    /// Where a new follower begins: it learns what is told from now on.
-    pub fn end(&self) -> FeedPlace {
-        let notice = self.notices_before.get() + self.notices.borrow().len() as u64;
-        FeedPlace { notice, load: self.loads_told.get() }
+    /// The cursor of a new follower, which reads what is pushed from now on.
+    pub fn cursor(&self) -> FeedCursor {
+        let notice = self.dropped_notices.get() + self.notices.borrow().len() as u64;
+        FeedCursor { notice, load: self.load_sequence.get() }
     }
 
-    /// Keeps notices for the followers.
+    /// Adds notices for the followers.
     pub fn push(&self, notices: &[PlacementNotice]) {
-        let mut kept = self.notices.borrow_mut();
-        kept.extend(notices.iter().cloned());
-        let beyond = kept.len().saturating_sub(MOST_NOTICES);
-        kept.drain(..beyond);
-        self.notices_before.set(self.notices_before.get() + beyond as u64);
+        let mut queued = self.notices.borrow_mut();
+        queued.extend(notices.iter().cloned());
+        let excess = queued.len().saturating_sub(MAX_NOTICES);
+        queued.drain(..excess);
+        self.dropped_notices.set(self.dropped_notices.get() + excess as u64);
     }
 
-    /// Keeps the loads of servers for the followers.
+    /// Adds loads of servers for the followers.
     pub fn push_loads(&self, loads: &[ServerLoad]) {
-        let told = self.loads_told.get() + 1;
-        self.loads_told.set(told);
-        let loads = loads.iter().map(|load| (load.server, (told, *load)));
+        let sequence = self.load_sequence.get() + 1;
+        self.load_sequence.set(sequence);
+        let loads = loads.iter().map(|load| (load.server, (sequence, *load)));
         self.loads.borrow_mut().extend(loads);
     }
 
-    /// What a follower has not been told yet, and moves its place on.
-    pub fn after(&self, place: &mut FeedPlace) -> (Vec<PlacementNotice>, Vec<ServerLoad>) {
-        let skipped = place.notice.saturating_sub(self.notices_before.get());
-        let kept = self.notices.borrow();
-        let notices = kept.iter().skip(skipped as usize).cloned().collect();
+    /// Returns what was pushed since a cursor, and advances the cursor.
+    pub fn read(&self, cursor: &mut FeedCursor) -> (Vec<PlacementNotice>, Vec<ServerLoad>) {
+        let skipped = cursor.notice.saturating_sub(self.dropped_notices.get());
+        let queued = self.notices.borrow();
+        let notices = queued.iter().skip(skipped as usize).cloned().collect();
         let loads = self.loads.borrow();
-        let newer = loads.values().filter(|(told, _)| *told > place.load);
+        let newer = loads.values().filter(|(sequence, _)| *sequence > cursor.load);
         let loads = newer.map(|(_, load)| *load).collect();
-        *place = self.end();
+        *cursor = self.cursor();
         (notices, loads)
     }
 }
--- a/crates/portrack/src/gateway/store_sync/frames.rs
+++ b/crates/portrack/src/gateway/store_sync/frames.rs
@@ -1,17 +1,19 @@
-//! Messages of a connection between two daemons: a length, then the body.
+//! Framing of messages between two daemons: a length, then the body.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The largest body, in bytes: a fleet's whole state with a configuration of thousands of routes.
+/// The largest body in bytes. A fleet's whole state with a configuration of thousands of routes
+/// fits.
 const MAX_BODY: u32 = 8 * 1024 * 1024;
-/// Bytes read at once of a message over a slow link.
-const PART: usize = 4_096;
+/// Bytes read at a time. The read timeout applies to each chunk, so that a slow link is not
+/// mistaken for a silent one.
+const CHUNK: usize = 4_096;
 
-/// A message as bytes with its length; `None` if it is too long.
-fn frame(body: &impl Serialize) -> Option<Vec<u8>> {
+/// Encodes a message with its length prefix; `None` if it is too long.
+fn encode_frame(body: &impl Serialize) -> Option<Vec<u8>> {
     let body = postcard::to_allocvec(body).ok()?;
     let length = u32::try_from(body.len()).ok().filter(|length| *length <= MAX_BODY)?;
     let mut bytes = length.to_be_bytes().to_vec();
@@ -19,51 +21,51 @@
     Some(bytes)
 }
 
-/// Writes a message; `None` if it is too long or the connection broke.
+/// Writes a message. Returns `None` if it is too long or the connection failed.
 pub(in crate::gateway) async fn write_frame(
     stream: &mut (impl AsyncWrite + Unpin),
     body: &impl Serialize,
 ) -> Option<()> {
-    stream.write_all(&frame(body)?).await.ok()
+    stream.write_all(&encode_frame(body)?).await.ok()
 }
 
-/// Why a message did not come.
+/// Why no message was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::gateway) enum FrameError {
-    /// Nothing came for a while.
-    Silent,
-    /// The connection ended, or what came is no message.
-    Broken,
+    /// Nothing arrived for a while.
+    TimedOut,
+    /// The connection was closed, or the data is not a valid message.
+    Failed,
 }
 
-/// Reads a message of which parts keep coming: between two of them pass `silent` at most, however
-/// long the whole takes over a slow link.
+/// Reads a message. Each chunk must arrive within `timeout`; the whole message may take any time
+/// over a slow link.
 pub(in crate::gateway) async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncRead + Unpin),
-    silent: Duration,
+    timeout: Duration,
 ) -> Result<T, FrameError> {
-    let mut head = [0; 4];
-    read_part(stream, &mut head, silent).await?;
-    let length = u32::from_be_bytes(head);
+    let mut length = [0; 4];
+    read_chunk(stream, &mut length, timeout).await?;
+    let length = u32::from_be_bytes(length);
     if length > MAX_BODY {
-        return Err(FrameError::Broken);
+        return Err(FrameError::Failed);
     }
     let mut body = Vec::new();
-    let mut part = [0; PART];
+    let mut chunk = [0; CHUNK];
     while body.len() < length as usize {
-        let wanted = PART.min(length as usize - body.len());
-        read_part(stream, &mut part[..wanted], silent).await?;
-        body.extend_from_slice(&part[..wanted]);
+        let wanted = CHUNK.min(length as usize - body.len());
+        read_chunk(stream, &mut chunk[..wanted], timeout).await?;
+        body.extend_from_slice(&chunk[..wanted]);
     }
-    postcard::from_bytes(&body).map_err(|_| FrameError::Broken)
+    postcard::from_bytes(&body).map_err(|_| FrameError::Failed)
 }
 
-async fn read_part(
+async fn read_chunk(
     stream: &mut (impl AsyncRead + Unpin),
-    part: &mut [u8],
-    silent: Duration,
+    chunk: &mut [u8],
+    timeout: Duration,
 ) -> Result<(), FrameError> {
-    let read = actix_rt::time::timeout(silent, stream.read_exact(part)).await;
-    let read = read.map_err(|_| FrameError::Silent)?;
-    read.map(|_| ()).map_err(|_| FrameError::Broken)
+    let read = actix_rt::time::timeout(timeout, stream.read_exact(chunk)).await;
+    let read = read.map_err(|_| FrameError::TimedOut)?;
+    read.map(|_| ()).map_err(|_| FrameError::Failed)
 }
--- a/crates/portrack/src/gateway/store_sync/peer_freshness.rs
+++ b/crates/portrack/src/gateway/store_sync/peer_freshness.rs
@@ -1,4 +1,4 @@
-//! What is known of how fresh other daemons' news is.
+//! What is known about the freshness of other daemons' copies of the store.
 
 use super::report::{SyncReport, SyncState};
 use crate::types::Time;
@@ -7,90 +7,97 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a heartbeat's way takes at most, by and large: between regions 20 ms, and a turn of a small
-/// node's processor. A later one makes a daemon seem fresher than it is until the next: evidence
-/// tells whom to ask, and proves nothing.
-const WAY: Duration = Duration::from_millis(50);
+/// Assumed transit time of a heartbeat: 20 ms between regions, and a scheduling delay on a small
+/// node. A slower heartbeat makes a daemon seem fresher than it is until the next one arrives. That
+/// is harmless, because this information decides whom to query and proves nothing.
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(50);
 
-/// Evidence of one daemon's news.
+/// What is known about one daemon's copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerFreshness {
-    /// Its life.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// A moment on this daemon's clock, in milliseconds, at which the store held nothing that the other
-    /// one does not know.
-    pub known_at: Option<i64>,
-    /// Where it has its news from.
-    pub standing: SyncState,
-    /// When this was heard.
-    pub heard_at: Time,
+    /// A time on this daemon's clock, in milliseconds, up to which the other daemon's copy is
+    /// complete.
+    pub fresh_at: Option<i64>,
+    /// Where the daemon gets its updates from.
+    pub state: SyncState,
+    /// When this was received.
+    pub received_at: Time,
 }
 
-/// Evidence of all daemons, by their addresses.
+/// The freshness of all daemons' copies, by address.
 #[derive(Debug, Clone, Default)]
 pub struct PeerFreshnessTable(BTreeMap<SocketAddr, PeerFreshness>);
 
-/// A moment on this daemon's clock that may be before its start.
-pub fn moment(time: Time) -> i64 {
+/// A time on this daemon's clock in milliseconds, signed because derived times may lie before its
+/// start.
+pub fn time_millis(time: Time) -> i64 {
     i64::try_from(time.0).unwrap_or(i64::MAX)
 }
 
 impl PeerFreshnessTable {
-    /// Takes in what a daemon says of itself in a heartbeat.
-    pub fn heard(&mut self, now: Time, report: &SyncReport) {
-        self.take(now, moment(now) - millis(WAY), report, true);
+    /// Records a daemon's own report from a heartbeat.
+    pub fn record_own(&mut self, now: Time, report: &SyncReport) {
+        self.record(now, time_millis(now) - duration_millis(HEARTBEAT_TRANSIT), report, true);
     }
 
-    /// Takes in what a daemon says of another one in a heartbeat.
-    pub fn heard_of(&mut self, now: Time, report: &SyncReport) {
-        self.take(now, moment(now) - millis(WAY), report, false);
+    /// Records a report about another daemon that a heartbeat forwards.
+    pub fn record_forwarded(&mut self, now: Time, report: &SyncReport) {
+        self.record(now, time_millis(now) - duration_millis(HEARTBEAT_TRANSIT), report, false);
     }
 
-    /// Takes in what a daemon answered to a question that was sent at `asked_at`, of itself or of
-    /// others: the answer may have been on its way for long.
-    pub fn answered(&mut self, now: Time, asked_at: Time, report: &SyncReport, of_itself: bool) {
-        self.take(now, moment(asked_at), report, of_itself);
+    /// Records a report from the response to a query sent at `asked_at`. The age counts from the
+    /// query, because the response may have been delayed.
+    pub fn record_response(
+        &mut self,
+        now: Time,
+        requested_at: Time,
+        report: &SyncReport,
+        is_own: bool,
+    ) {
+        self.record(now, time_millis(requested_at), report, is_own);
     }
 
-    fn take(&mut self, now: Time, told_at: i64, report: &SyncReport, of_itself: bool) {
-        let known_at = report.age_ms.map(|age| told_at - i64::from(age));
-        let told = PeerFreshness {
+    fn record(&mut self, now: Time, reported_at: i64, report: &SyncReport, is_own: bool) {
+        let fresh_at = report.age_ms.map(|age| reported_at - i64::from(age));
+        let reported = PeerFreshness {
             incarnation: report.incarnation,
-            known_at,
-            standing: report.standing,
-            heard_at: now,
+            fresh_at,
+            state: report.standing,
+            received_at: now,
         };
-        let Some(held) = self.0.get_mut(&report.address) else {
-            self.0.insert(report.address, told);
+        let Some(known) = self.0.get_mut(&report.address) else {
+            self.0.insert(report.address, reported);
             return;
         };
-        match report.incarnation.cmp(&held.incarnation) {
+        match report.incarnation.cmp(&known.incarnation) {
             Ordering::Less => {}
-            Ordering::Greater => *held = told,
-            Ordering::Equal if of_itself || known_at > held.known_at => {
-                *held = PeerFreshness { known_at: known_at.max(held.known_at), ..told };
+            Ordering::Greater => *known = reported,
+            Ordering::Equal if is_own || fresh_at > known.fresh_at => {
+                *known = PeerFreshness { fresh_at: fresh_at.max(known.fresh_at), ..reported };
             }
             Ordering::Equal => {}
         }
     }
 
-    /// What is known of a daemon.
-    pub fn of(&self, daemon: SocketAddr) -> Option<&PeerFreshness> {
+    /// What is known about a daemon.
+    pub fn get(&self, daemon: SocketAddr) -> Option<&PeerFreshness> {
         self.0.get(&daemon)
     }
 
-    /// All evidence.
-    pub fn all(&self) -> impl Iterator<Item = (SocketAddr, &PeerFreshness)> {
-        self.0.iter().map(|(address, evidence)| (*address, evidence))
+    /// All entries.
+    pub fn iter(&self) -> impl Iterator<Item = (SocketAddr, &PeerFreshness)> {
+        self.0.iter().map(|(address, freshness)| (*address, freshness))
     }
 
-    /// Forgets daemons that were not heard of since a time.
-    pub fn forget_before(&mut self, since: Time) {
-        self.0.retain(|_, evidence| evidence.heard_at >= since);
+    /// Removes daemons of which nothing has been received since a time.
+    pub fn remove_before(&mut self, since: Time) {
+        self.0.retain(|_, freshness| freshness.received_at >= since);
     }
 }
 
-/// A span in milliseconds.
-pub fn millis(span: Duration) -> i64 {
-    i64::try_from(span.as_millis()).unwrap_or(i64::MAX)
+/// A duration in milliseconds.
+pub fn duration_millis(duration: Duration) -> i64 {
+    i64::try_from(duration.as_millis()).unwrap_or(i64::MAX)
 }
--- a/crates/portrack/src/gateway/store_sync/report.rs
+++ b/crates/portrack/src/gateway/store_sync/report.rs
@@ -1,31 +1,31 @@
-//! What daemons tell each other of how fresh their news of the store is.
+//! Reports that daemons exchange about the freshness of their copies of the store.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Where a daemon has its news from.
+/// Where a daemon gets its updates from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncState {
-    /// From the store itself; others may follow it.
+    /// From the store itself; others may follow this daemon.
     Watches,
-    /// From a daemon that watches.
+    /// From a daemon that watches the store.
     Follows,
-    /// From nobody at the moment.
+    /// From nowhere at the moment.
     Alone,
-    /// The same or from another daemon, and the store does not serve it.
+    /// From nowhere or from another daemon, and the store rejects this daemon's calls.
     TurnedAway,
 }
 
-/// How fresh one daemon's news is, as the daemon itself or another one tells it.
+/// The freshness of one daemon's copy, as reported by the daemon itself or forwarded by another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncReport {
-    /// The daemon.
+    /// The daemon's address.
     pub address: SocketAddr,
-    /// Its life: what was told of a former one says nothing of this one.
+    /// The daemon's incarnation. A report about an earlier one says nothing about this one.
     pub incarnation: u64,
-    /// How long ago the store held nothing that the daemon does not know, in milliseconds, when this
-    /// was told; `None` if it can prove nothing.
+    /// Upper bound on the staleness of the daemon's copy when the report was sent, in milliseconds;
+    /// `None` if it has no proof.
     pub age_ms: Option<u32>,
-    /// Where it has its news from.
+    /// Where the daemon gets its updates from.
     pub standing: SyncState,
 }
--- a/crates/portrack/src/gateway/store_sync/staleness.rs
+++ b/crates/portrack/src/gateway/store_sync/staleness.rs
@@ -1,29 +1,29 @@
-//! How old news of the store may be, for those who act on it.
+//! How stale this daemon's copy of the store may be.
 
 use crate::gateway::requests::handler::RequestHandler;
 use std::time::Duration;
 
-/// The age of what a daemon knows of the store.
+/// An upper bound on the staleness of a daemon's copy of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Staleness {
-    /// So long ago the store held nothing that the daemon does not know.
+    /// The copy contained everything that the store held this long ago.
     AtMost(Duration),
-    /// It may be of any age.
+    /// No bound is known.
     Unknown,
 }
 
 impl Staleness {
-    /// The age of a proof, if there is one.
-    pub fn of(proof: Option<Duration>) -> Self {
+    /// The staleness that a freshness proof of this age allows.
+    pub fn from_proof(proof: Option<Duration>) -> Self {
         proof.map_or(Self::Unknown, Self::AtMost)
     }
 
-    /// True if it is proven and no older than a bound.
+    /// Returns true if the staleness is known and at most `bound`.
     pub fn is_within(self, bound: Duration) -> bool {
         matches!(self, Self::AtMost(age) if age <= bound)
     }
 
-    /// In milliseconds, -1 if it may be any.
+    /// The staleness in milliseconds, or -1 if it is unknown.
     pub fn millis(self) -> i64 {
         match self {
             Self::AtMost(age) => i64::try_from(age.as_millis()).unwrap_or(i64::MAX),
@@ -33,8 +33,8 @@
 }
 
 impl RequestHandler {
-    /// How old what this daemon knows of the store may be.
+    /// How stale this daemon's copy of the store may be.
     pub fn staleness(&self) -> Staleness {
-        Staleness::of(self.proof.age(self.clock.now()))
+        Staleness::from_proof(self.proof.age(self.clock.now()))
     }
 }
--- a/crates/portrack/src/gateway/store_sync/timings.rs
+++ b/crates/portrack/src/gateway/store_sync/timings.rs
@@ -1,42 +1,46 @@
-//! How the time within which news must be known is shared out over its way to a daemon.
+//! Timeouts and intervals of store synchronisation, all derived from the time within which a change
+//! must reach every daemon.
 
 use std::time::Duration;
 
-/// The longest watch of the store: with a loss of the store its followers are told as late.
-const WATCH_MOST: Duration = Duration::from_millis(1_000);
-/// A watch of a store in which nothing changes, as a share.
-const WATCH: f64 = 1.0 / 6.0;
-/// Between two watches, at most.
-const PAUSE: f64 = 0.2;
-/// For the answer of a store or a daemon that answers at once.
-const ANSWER: f64 = 0.05;
-/// Between a follower's questions how fresh its source is, and between frames without news.
-const QUESTION: f64 = 0.1;
-/// For the first answer of another daemon: a connection and a question, also between regions.
-const PATIENCE: f64 = 0.1;
-/// A feed that says nothing for so long is left: two frames are late.
-const SILENT: f64 = 0.2;
-/// News of a daemon with a live source is no older: two watches, the pause between them, the store's
-/// answer, and a frame.
-const CALM: f64 = 0.66;
-/// Between the turns in which daemons of a group ask the store themselves, if they know of nobody
-/// else.
-const TURN: f64 = 0.03;
-/// The last of these turns.
-const LAST_TURN: u32 = 3;
-/// What is stated of every daemon in touch.
-const MOST: f64 = 0.95;
-/// What a log line warns of.
-const OLD: f64 = 0.8;
+/// The longest watch of the store. It is capped because followers learn of a loss of the store only
+/// after the watch has ended.
+const MAX_WATCH: Duration = Duration::from_millis(1_000);
+/// Share for one watch of a store in which nothing changes.
+const WATCH_SHARE: f64 = 1.0 / 6.0;
+/// Share for the longest pause between two watches.
+const PAUSE_SHARE: f64 = 0.2;
+/// Share for a response that the store or a daemon sends immediately.
+const RESPONSE_SHARE: f64 = 0.05;
+/// Share for the interval between a follower's freshness queries, and between frames without
+/// changes.
+const QUERY_SHARE: f64 = 0.1;
+/// Share for the first response of another daemon: connecting and one query, also between regions.
+const FIRST_RESPONSE_SHARE: f64 = 0.1;
+/// Share after which a feed that sends nothing is dropped: two frames are late by then.
+const SILENCE_SHARE: f64 = 0.2;
+/// Share for the staleness of a daemon with a healthy source: two watches, the pause between them,
+/// the store's response and a frame.
+const HEALTHY_SHARE: f64 = 0.66;
+/// Share for one step of the fallback delay, after which daemons that know of no source query the
+/// store themselves.
+const FALLBACK_STEP_SHARE: f64 = 0.03;
+/// The largest number of steps in the fallback delay.
+const MAX_FALLBACK_STEPS: u32 = 3;
+/// Share for the guaranteed bound on the staleness of every connected daemon.
+const MAX_STALENESS_SHARE: f64 = 0.95;
+/// Share for the staleness that is logged as a warning.
+const WARN_SHARE: f64 = 0.8;
 
-/// Times of the way of news, all shares of the time within which it must be known.
+/// Timeouts and intervals of store synchronisation, as shares of the time within which a change
+/// must reach every daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SyncTimings {
     within: Duration,
 }
 
 impl SyncTimings {
-    /// For news that must be known `within` a time.
+    /// Timings for changes that must reach every daemon `within` a time.
     pub fn new(within: Duration) -> Self {
         Self { within }
     }
@@ -45,55 +49,57 @@
         self.within.mul_f64(share)
     }
 
-    /// How long a watch of the store waits.
-    pub fn watch(&self) -> Duration {
-        self.share(WATCH).min(WATCH_MOST)
+    /// How long a watch of the store waits for changes.
+    pub fn watch_timeout(&self) -> Duration {
+        self.share(WATCH_SHARE).min(MAX_WATCH)
     }
 
     /// The longest pause between two watches.
-    pub fn pause(&self) -> Duration {
-        self.share(PAUSE)
+    pub fn max_watch_pause(&self) -> Duration {
+        self.share(PAUSE_SHARE)
     }
 
-    /// For an answer that is given at once.
-    pub fn answer(&self) -> Duration {
-        self.share(ANSWER)
+    /// Time allowed for an immediate response; also the interval at which a daemon reconsiders its
+    /// source.
+    pub fn response_time(&self) -> Duration {
+        self.share(RESPONSE_SHARE)
     }
 
-    /// Between a follower's questions, and between frames without news.
-    pub fn question(&self) -> Duration {
-        self.share(QUESTION)
+    /// Interval between a follower's freshness queries, and between frames without changes.
+    pub fn query_interval(&self) -> Duration {
+        self.share(QUERY_SHARE)
     }
 
-    /// For the first answer of a daemon that is asked or followed anew.
-    pub fn patience(&self) -> Duration {
-        self.share(PATIENCE)
+    /// Time allowed for the first response of a daemon that is queried or followed anew.
+    pub fn first_response_timeout(&self) -> Duration {
+        self.share(FIRST_RESPONSE_SHARE)
     }
 
-    /// A feed that says nothing for so long is left.
-    pub fn silent(&self) -> Duration {
-        self.share(SILENT)
+    /// A feed that sends nothing for this long is dropped.
+    pub fn silence_timeout(&self) -> Duration {
+        self.share(SILENCE_SHARE)
     }
 
-    /// News is no older at a daemon whose source is well; an older source is left.
-    pub fn calm(&self) -> Duration {
-        self.share(CALM)
+    /// The staleness that a daemon with a healthy source does not exceed. A source with an older
+    /// copy is dropped.
+    pub fn healthy_staleness(&self) -> Duration {
+        self.share(HEALTHY_SHARE)
     }
 
-    /// How long a daemon that knows of nobody to follow, or has old news, waits before it asks the
-    /// store, by its place among those of its group: few ask first, and twice as many each time.
-    pub fn turn(&self, place: usize) -> Duration {
-        let stage = ((place + 2) / 2).ilog2().min(LAST_TURN);
-        self.share(TURN) * stage
+    /// How long a daemon that knows of no source, or whose copy is stale, waits before it queries
+    /// the store, by its rank in its group: few query first, and each step admits twice as many.
+    pub fn fallback_delay(&self, rank: usize) -> Duration {
+        let steps = ((rank + 2) / 2).ilog2().min(MAX_FALLBACK_STEPS);
+        self.share(FALLBACK_STEP_SHARE) * steps
     }
 
-    /// The stated bound: no daemon in touch has older news.
-    pub fn most(&self) -> Duration {
-        self.share(MOST)
+    /// The guaranteed bound: no connected daemon's copy is staler.
+    pub fn max_staleness(&self) -> Duration {
+        self.share(MAX_STALENESS_SHARE)
     }
 
-    /// News that is older is worth a line in the log.
-    pub fn old(&self) -> Duration {
-        self.share(OLD)
+    /// Staleness above this is logged as a warning.
+    pub fn warn_staleness(&self) -> Duration {
+        self.share(WARN_SHARE)
     }
 }
--- a/crates/portrack/tests/gateway/following.rs
+++ b/crates/portrack/tests/gateway/following.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, and whom the others follow.
+//! Which daemons watch the store, and which peers the others follow.
 
 use portrack::Time;
 use portrack::gateway::{
@@ -16,10 +16,11 @@
     (1..=daemons).map(address).collect()
 }
 
-/// Daemons of a hall, and others in another one of the region, seen from one of the hall.
-fn around(group: &[SocketAddr], abroad: &[SocketAddr], me: SocketAddr) -> PeerTopology {
+/// The topology seen from one daemon of a hall, with `remote` daemons in another hall of the
+/// region.
+fn topology(group: &[SocketAddr], remote: &[SocketAddr], me: SocketAddr) -> PeerTopology {
     let near = group.iter().filter(|peer| **peer != me).map(|peer| (*peer, Distance::Hall));
-    let far = abroad.iter().map(|peer| (*peer, Distance::Region));
+    let far = remote.iter().map(|peer| (*peer, Distance::Region));
     PeerTopology { group: group.to_vec(), others: near.chain(far).collect() }
 }
 
@@ -29,231 +30,267 @@
 
 const NOW: Time = Time(100_000);
 
-/// News must be known within two seconds.
-fn course(me: SocketAddr) -> SourceSelector {
+/// A selector for changes that must be known within two seconds.
+fn selector(me: SocketAddr) -> SourceSelector {
     SourceSelector::new(me, SyncTimings::new(Duration::from_millis(2_000)))
 }
 
-/// A daemon that has heard that these watch, with fresh news.
-fn hearing(me: SocketAddr, watching: &[SocketAddr]) -> SourceSelector {
-    let mut course = course(me);
+/// A selector that has received fresh reports of these watchers.
+fn selector_with_reports(me: SocketAddr, watching: &[SocketAddr]) -> SourceSelector {
+    let mut selector = selector(me);
     for peer in watching.iter().filter(|peer| **peer != me) {
-        course.heard(NOW, &report(*peer, 300, SyncState::Watches), &[]);
+        selector.heard(NOW, &report(*peer, 300, SyncState::Watches), &[]);
     }
-    course
+    selector
 }
 
-/// Proof of a moment so long ago.
+/// A proof of this age.
 fn proof(age_ms: i64) -> Option<i64> {
     Some(NOW.0 as i64 - age_ms)
 }
 
-/// The daemons of a hall that turn to the store, with fresh news and when these are known to watch.
-fn turning(group: &[SocketAddr], watching: &[SocketAddr]) -> Vec<SocketAddr> {
-    let turns = |me: &SocketAddr| {
-        let around = around(group, &[], *me);
-        hearing(*me, watching).decide(NOW, &around, proof(300)) == SyncSource::Store
+/// The daemons of a hall that select the store, with fresh copies and with these known watchers.
+fn store_selectors(group: &[SocketAddr], watching: &[SocketAddr]) -> Vec<SocketAddr> {
+    let selects_store = |me: &SocketAddr| {
+        let topology = topology(group, &[], *me);
+        selector_with_reports(*me, watching).select_source(NOW, &topology, proof(300))
+            == SyncSource::Store
     };
-    group.iter().copied().filter(turns).collect()
+    group.iter().copied().filter(selects_store).collect()
 }
 
 #[test]
-fn in_a_group_of_two_both_watch() {
-    assert_eq!(turning(&hall(2), &hall(2)), hall(2));
+fn both_daemons_of_a_group_of_two_watch() {
+    assert_eq!(store_selectors(&hall(2), &hall(2)), hall(2));
 }
 
 #[test]
-fn in_a_larger_group_two_watch_and_the_others_are_spread_over_them() {
+fn larger_group_has_two_watchers_with_followers_spread_evenly() {
     for daemons in [3, 4, 5, 20] {
         let order = hall(daemons);
-        assert_eq!(turning(&order, &order[..2]), order[..2]);
+        assert_eq!(store_selectors(&order, &order[..2]), order[..2]);
     }
     let order = hall(20);
     let followed = |me: u8| {
-        hearing(address(me), &order[..2]).decide(NOW, &around(&order, &[], address(me)), proof(300))
+        selector_with_reports(address(me), &order[..2]).select_source(
+            NOW,
+            &topology(&order, &[], address(me)),
+            proof(300),
+        )
     };
     let follow_first = (3..=20).filter(|me| followed(*me) == SyncSource::Peer(address(1)));
     assert_eq!(follow_first.count(), 9);
 }
 
 #[test]
-fn the_next_ones_watch_where_the_first_are_turned_away() {
+fn next_daemon_watches_if_a_watcher_is_rejected() {
     let order = hall(20);
     for (last, expected) in [(2, true), (3, true), (4, false)] {
         let me = address(last);
-        let mut course = hearing(me, &order[..2]);
-        course.heard(NOW, &report(address(1), 300, SyncState::TurnedAway), &[]);
-        let source = course.decide(NOW, &around(&order, &[], me), proof(300));
+        let mut selector = selector_with_reports(me, &order[..2]);
+        selector.heard(NOW, &report(address(1), 300, SyncState::TurnedAway), &[]);
+        let source = selector.select_source(NOW, &topology(&order, &[], me), proof(300));
         assert_eq!(source == SyncSource::Store, expected, "{last}");
     }
 }
 
 #[test]
-fn those_that_lose_one_watcher_turn_to_the_other_and_not_to_one_that_does_not_watch() {
+fn followers_of_a_lost_watcher_switch_to_the_other_watcher() {
     let order = hall(20);
     for me in 3..=20 {
         for (lost, kept) in [(1, 2), (2, 1)] {
-            let mut course = hearing(address(me), &order[..2]);
-            course.heard(NOW, &report(address(9), 100, SyncState::Follows), &[]);
-            course.left(NOW, address(lost), SourceFailure::Ended);
-            let source = course.decide(NOW, &around(&order, &[], address(me)), proof(300));
+            let mut selector = selector_with_reports(address(me), &order[..2]);
+            selector.heard(NOW, &report(address(9), 100, SyncState::Follows), &[]);
+            selector.mark_failed(NOW, address(lost), SourceFailure::Ended);
+            let source =
+                selector.select_source(NOW, &topology(&order, &[], address(me)), proof(300));
             assert_eq!(source, SyncSource::Peer(address(kept)));
         }
     }
 }
 
 #[test]
-fn a_watcher_that_is_turned_away_follows_the_other_and_asks_again_after_a_while() {
+fn rejected_watcher_follows_the_other_and_retries_the_store_later() {
     let order = hall(20);
-    let around = around(&order, &[], address(1));
-    let mut course = hearing(address(1), &order[..2]);
-    assert_eq!(course.decide(NOW, &around, proof(0)), SyncSource::Store);
-    course.store_answered();
-    assert_eq!(course.standing(), SyncState::Watches);
-    course.store_failed(NOW, NOW);
-    assert_eq!(course.decide(NOW, &around, proof(300)), SyncSource::Store, "one failure is borne");
+    let topology = topology(&order, &[], address(1));
+    let mut selector = selector_with_reports(address(1), &order[..2]);
+    assert_eq!(selector.select_source(NOW, &topology, proof(0)), SyncSource::Store);
+    selector.on_store_response();
+    assert_eq!(selector.state(), SyncState::Watches);
+    selector.on_store_failure(NOW, NOW);
+    assert_eq!(
+        selector.select_source(NOW, &topology, proof(300)),
+        SyncSource::Store,
+        "one failure is tolerated"
+    );
     let later = NOW + Duration::from_millis(500);
-    course.store_failed(later, later);
-    assert_eq!(course.standing(), SyncState::TurnedAway);
-    assert_eq!(course.decide(later, &around, proof(300)), SyncSource::Peer(address(2)));
+    selector.on_store_failure(later, later);
+    assert_eq!(selector.state(), SyncState::TurnedAway);
+    assert_eq!(selector.select_source(later, &topology, proof(300)), SyncSource::Peer(address(2)));
     let again = later + Duration::from_millis(4_000);
-    assert_eq!(course.decide(again, &around, proof(-4_000)), SyncSource::Store);
+    assert_eq!(selector.select_source(again, &topology, proof(-4_000)), SyncSource::Store);
 }
 
 #[test]
-fn if_nobody_is_known_to_watch_daemons_ask_the_store_some_at_a_time() {
+fn without_known_watchers_daemons_query_the_store_in_stages() {
     let order = hall(20);
-    let asking = |age: i64| {
-        let asks = |me: &SocketAddr| {
-            let source = course(*me).decide(NOW, &around(&order, &[], *me), proof(age));
+    let querying = |age: i64| {
+        let queries_store = |me: &SocketAddr| {
+            let source = selector(*me).select_source(NOW, &topology(&order, &[], *me), proof(age));
             source == SyncSource::Store
         };
-        order.iter().filter(|me| asks(me)).count()
+        order.iter().filter(|me| queries_store(me)).count()
     };
-    assert_eq!([1_300, 1_320, 1_390, 1_450, 1_510].map(asking), [2, 2, 6, 14, 20]);
-    let mut blind = course(address(20));
-    assert_eq!(blind.decide(NOW, &around(&order, &[], address(20)), None), SyncSource::Store);
+    assert_eq!([1_300, 1_320, 1_390, 1_450, 1_510].map(querying), [2, 2, 6, 14, 20]);
+    let mut without_proof = selector(address(20));
+    assert_eq!(
+        without_proof.select_source(NOW, &topology(&order, &[], address(20)), None),
+        SyncSource::Store
+    );
 }
 
 #[test]
-fn one_that_began_to_watch_for_others_goes_on_until_two_that_come_before_it_do() {
+fn substitute_watcher_continues_until_two_earlier_daemons_watch() {
     let order = hall(20);
-    let around = around(&order, &[], address(9));
-    let mut course = course(address(9));
-    assert_eq!(course.decide(NOW, &around, proof(1_900)), SyncSource::Store);
-    course.store_answered();
-    assert_eq!(course.decide(NOW, &around, proof(0)), SyncSource::Store);
-    course.heard(NOW, &report(address(1), 300, SyncState::Watches), &[]);
-    course.heard(NOW, &report(address(12), 300, SyncState::Watches), &[]);
-    assert_eq!(course.decide(NOW, &around, proof(0)), SyncSource::Store, "12 comes after it");
-    course.heard(NOW, &report(address(2), 300, SyncState::Watches), &[]);
-    assert!(matches!(course.decide(NOW, &around, proof(0)), SyncSource::Peer(_)));
-    assert!(!course.watches());
+    let topology = topology(&order, &[], address(9));
+    let mut selector = selector(address(9));
+    assert_eq!(selector.select_source(NOW, &topology, proof(1_900)), SyncSource::Store);
+    selector.on_store_response();
+    assert_eq!(selector.select_source(NOW, &topology, proof(0)), SyncSource::Store);
+    selector.heard(NOW, &report(address(1), 300, SyncState::Watches), &[]);
+    selector.heard(NOW, &report(address(12), 300, SyncState::Watches), &[]);
+    assert_eq!(
+        selector.select_source(NOW, &topology, proof(0)),
+        SyncSource::Store,
+        "daemon 12 ranks after it"
+    );
+    selector.heard(NOW, &report(address(2), 300, SyncState::Watches), &[]);
+    assert!(matches!(selector.select_source(NOW, &topology, proof(0)), SyncSource::Peer(_)));
+    assert!(!selector.watches());
 }
 
 #[test]
-fn a_daemon_that_knows_of_no_other_one_watches() {
-    assert_eq!(turning(&hall(1), &[]), [address(1)]);
+fn lone_daemon_watches() {
+    assert_eq!(store_selectors(&hall(1), &[]), [address(1)]);
 }
 
 #[test]
-fn its_own_hall_comes_first_and_then_the_nearest_with_fresh_news() {
+fn nearest_fresh_watcher_is_followed() {
     let order = hall(20);
-    let abroad = [address(101), address(102)];
+    let remote = [address(101), address(102)];
     let me = address(7);
-    let mut around = around(&order, &abroad, me);
-    around.others.push((address(201), Distance::Far));
-    let mut course = hearing(me, &[address(201)]);
-    assert_eq!(course.decide(NOW, &around, proof(300)), SyncSource::Peer(address(201)));
+    let mut topology = topology(&order, &remote, me);
+    topology.others.push((address(201), Distance::Far));
+    let mut selector = selector_with_reports(me, &[address(201)]);
+    assert_eq!(selector.select_source(NOW, &topology, proof(300)), SyncSource::Peer(address(201)));
     let later = NOW + Duration::from_millis(300);
-    course.heard(later, &report(address(101), 300, SyncState::Watches), &[]);
-    assert_eq!(course.decide(later, &around, proof(300)), SyncSource::Peer(address(101)));
+    selector.heard(later, &report(address(101), 300, SyncState::Watches), &[]);
+    assert_eq!(
+        selector.select_source(later, &topology, proof(300)),
+        SyncSource::Peer(address(101))
+    );
     let later = NOW + Duration::from_millis(600);
-    course.heard(later, &report(address(2), 1_700, SyncState::Watches), &[]);
-    assert_eq!(course.decide(later, &around, proof(300)), SyncSource::Peer(address(2)));
+    selector.heard(later, &report(address(2), 1_700, SyncState::Watches), &[]);
+    assert_eq!(selector.select_source(later, &topology, proof(300)), SyncSource::Peer(address(2)));
 }
 
 #[test]
-fn a_daemon_whose_news_does_not_come_is_left_for_one_that_knows_more() {
+fn stalled_source_is_replaced_by_a_fresher_one() {
     let order = hall(20);
-    let around = around(&order, &[], address(7));
-    let mut course = hearing(address(7), &order[..2]);
-    let SyncSource::Peer(first) = course.decide(NOW, &around, proof(300)) else {
-        panic!("follows")
+    let topology = topology(&order, &[], address(7));
+    let mut selector = selector_with_reports(address(7), &order[..2]);
+    let SyncSource::Peer(first) = selector.select_source(NOW, &topology, proof(300)) else {
+        panic!("expected a peer as the source")
     };
     let other = if first == address(1) { address(2) } else { address(1) };
-    course.heard(NOW, &report(other, 200, SyncState::Watches), &[]);
+    selector.heard(NOW, &report(other, 200, SyncState::Watches), &[]);
     let later = NOW + Duration::from_millis(300);
-    assert_eq!(course.decide(later, &around, proof(900)), SyncSource::Peer(first));
-    assert_eq!(course.decide(later, &around, proof(1_030)), SyncSource::Peer(other));
-    course.heard(later, &report(first, 0, SyncState::Watches), &[]);
-    let source = course.decide(later + Duration::from_millis(50), &around, proof(1_030));
-    assert_eq!(source, SyncSource::Peer(other), "not at once");
+    assert_eq!(selector.select_source(later, &topology, proof(900)), SyncSource::Peer(first));
+    assert_eq!(selector.select_source(later, &topology, proof(1_030)), SyncSource::Peer(other));
+    selector.heard(later, &report(first, 0, SyncState::Watches), &[]);
+    let source = selector.select_source(later + Duration::from_millis(50), &topology, proof(1_030));
+    assert_eq!(
+        source,
+        SyncSource::Peer(other),
+        "a failed source is not followed again immediately"
+    );
 }
 
-/// A node left 47 feeds one after the other, each closed at once by a daemon that did not watch.
+/// Guards against a node that left 47 feeds one after the other, each closed immediately by a
+/// daemon that did not watch the store.
 #[test]
-fn a_redirect_leads_to_the_daemon_that_it_names() {
+fn redirect_leads_to_the_named_daemon() {
     let order = hall(20);
-    let abroad = [address(101), address(102)];
-    let around = around(&order, &abroad, address(7));
-    let mut course = hearing(address(7), &order[..2]);
-    let SyncSource::Peer(asked) = course.decide(NOW, &around, proof(300)) else {
-        panic!("follows")
+    let remote = [address(101), address(102)];
+    let topology = topology(&order, &remote, address(7));
+    let mut selector = selector_with_reports(address(7), &order[..2]);
+    let SyncSource::Peer(asked) = selector.select_source(NOW, &topology, proof(300)) else {
+        panic!("expected a peer as the source")
     };
     let other = if asked == address(1) { address(2) } else { address(1) };
     let later = NOW + Duration::from_millis(5);
     let own = report(asked, 900, SyncState::TurnedAway);
-    let told = [own, report(address(101), 200, SyncState::Watches)];
-    course.left(later, other, SourceFailure::Unreachable);
-    course.redirected(later, NOW, &told);
-    course.left(later, asked, SourceFailure::Ended);
-    assert_eq!(course.decide(later, &around, proof(300)), SyncSource::Peer(address(101)));
+    let reports = [own, report(address(101), 200, SyncState::Watches)];
+    selector.mark_failed(later, other, SourceFailure::Unreachable);
+    selector.record_response(later, NOW, &reports);
+    selector.mark_failed(later, asked, SourceFailure::Ended);
+    assert_eq!(
+        selector.select_source(later, &topology, proof(300)),
+        SyncSource::Peer(address(101))
+    );
 }
 
 #[test]
-fn what_an_answer_tells_counts_from_the_question() {
+fn age_in_a_response_counts_from_the_query() {
     let order = hall(20);
-    let around = around(&order, &[], address(7));
-    let mut course = course(address(7));
+    let topology = topology(&order, &[], address(7));
+    let mut selector = selector(address(7));
     let late = NOW + Duration::from_millis(4_000);
     let own = report(address(5), 300, SyncState::Alone);
-    course.redirected(late, NOW, &[own, report(address(9), 300, SyncState::Watches)]);
+    selector.record_response(late, NOW, &[own, report(address(9), 300, SyncState::Watches)]);
     let proof = Some(late.0 as i64 - 300);
-    assert_eq!(course.decide(late, &around, proof), SyncSource::Nobody, "it is 4,300 ms old");
+    assert_eq!(
+        selector.select_source(late, &topology, proof),
+        SyncSource::Nobody,
+        "the report is 4,300 ms old"
+    );
 }
 
 #[test]
-fn a_daemon_that_started_again_is_not_believed_to_know_what_it_knew() {
+fn restart_invalidates_earlier_reports() {
     let order = hall(20);
-    let around = around(&order, &[], address(7));
-    let mut course = hearing(address(7), &order[..1]);
-    assert_eq!(course.decide(NOW, &around, proof(300)), SyncSource::Peer(address(1)));
-    let begun = SyncReport {
+    let topology = topology(&order, &[], address(7));
+    let mut selector = selector_with_reports(address(7), &order[..1]);
+    assert_eq!(selector.select_source(NOW, &topology, proof(300)), SyncSource::Peer(address(1)));
+    let restarted = SyncReport {
         address: address(1),
         incarnation: 2,
         age_ms: None,
         standing: SyncState::Watches,
     };
-    course.heard(NOW, &begun, &[]);
-    assert_eq!(course.decide(NOW, &around, proof(300)), SyncSource::Nobody);
-    course.heard(
+    selector.heard(NOW, &restarted, &[]);
+    assert_eq!(selector.select_source(NOW, &topology, proof(300)), SyncSource::Nobody);
+    selector.heard(
         NOW,
         &report(address(3), 900, SyncState::Follows),
         &[report(address(1), 100, SyncState::Watches)],
     );
-    assert_eq!(course.decide(NOW, &around, proof(300)), SyncSource::Nobody, "of its former life");
+    assert_eq!(
+        selector.select_source(NOW, &topology, proof(300)),
+        SyncSource::Nobody,
+        "the report is about the earlier incarnation"
+    );
 }
 
 #[test]
-fn those_that_know_most_are_asked_and_nobody_who_knows_no_more() {
+fn freshest_peers_are_queried_and_no_staler_ones() {
     let order = hall(6);
-    let around = around(&order, &[], address(1));
-    let mut course = course(address(1));
+    let topology = topology(&order, &[], address(1));
+    let mut selector = selector(address(1));
     for (last, age) in [(2, 1_500), (3, 200), (4, 700), (5, 1_180), (6, 400)] {
-        course.heard(NOW, &report(address(last), age, SyncState::Follows), &[]);
+        selector.heard(NOW, &report(address(last), age, SyncState::Follows), &[]);
     }
-    let asked = course.know_more(NOW, &around, proof(1_400), 3);
+    let asked = selector.fresher_peers(NOW, &topology, proof(1_400), 3);
     assert_eq!(asked, [address(3), address(6), address(4)]);
-    assert_eq!(course.know_more(NOW, &around, proof(300), 3), []);
+    assert_eq!(selector.fresher_peers(NOW, &topology, proof(300), 3), []);
 }
--- a/crates/portrack/tests/gateway/former.rs
+++ b/crates/portrack/tests/gateway/former.rs
@@ -1,5 +1,5 @@
-//! Messages between this build and the one that landed before: nodes of a fleet are replaced one after the other, and both
-//! builds hear each other meanwhile.
+//! Compatibility of messages between this build and the previous one. The nodes of a fleet are
+//! replaced one after the other, and both builds exchange messages meanwhile.
 
 use portrack::gateway::{
     Capabilities, ClaimRecord, EraReport, EraTracker, GrantMessage, GrantRequest, Heartbeat,
@@ -11,19 +11,19 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A heartbeat as the build before wrote it.
-const FORMER_HEARTBEAT: &str = "05000966726f6e742d612d310161000a010026d43981d68695ca33fface2040001010207818080f80f010703f80a01000a010027d439036401000a010026d43981d68695ca3301f80a00";
-/// An ask for a grant as the build before wrote it.
-const FORMER_ASK: &str = "0508002a818080f80f0109f80a02bc059811fa0123";
+/// A heartbeat as the previous build encodes it.
+const PREVIOUS_HEARTBEAT: &str = "05000966726f6e742d612d310161000a010026d43981d68695ca33fface2040001010207818080f80f010703f80a01000a010027d439036401000a010026d43981d68695ca3301f80a00";
+/// A grant request as the previous build encodes it.
+const PREVIOUS_GRANT_REQUEST: &str = "0508002a818080f80f0109f80a02bc059811fa0123";
 
-/// What the last build that told no eras of the store added to its heartbeat.
+/// What the last build without eras of the store appended to its heartbeat.
 const CAPABILITIES: &str = "01";
-/// A record of a claim as that build wrote it.
-const FORMER_RECORD: &str = "046e317c780100";
+/// A claim record as that build encodes it.
+const PREVIOUS_CLAIM_RECORD: &str = "046e317c780100";
 
-/// What the build before read of a heartbeat, field by field.
+/// The fields of a heartbeat that the previous build decodes.
 #[derive(Debug, PartialEq, Deserialize)]
-struct FormerHeartbeat {
+struct PreviousHeartbeat {
     node: String,
     hall: String,
     address: SocketAddr,
@@ -40,9 +40,9 @@
     news: Vec<(SocketAddr, u64, Option<u32>, u8)>,
 }
 
-/// What the build before read of an ask for a grant.
+/// The fields of a grant request that the previous build decodes.
 #[derive(Debug, PartialEq, Deserialize)]
-struct FormerAsk {
+struct PreviousGrantRequest {
     ask: u32,
     server: u32,
     organisation: Option<u32>,
@@ -86,7 +86,7 @@
     }
 }
 
-fn ask() -> GrantRequest {
+fn grant_request() -> GrantRequest {
     GrantRequest {
         ask: 42,
         server: 0xff00_0001,
@@ -107,79 +107,91 @@
 }
 
 #[test]
-fn what_the_build_before_wrote_is_read_with_what_it_lacks_left_out() {
-    let read = decode_message(&bytes(FORMER_HEARTBEAT)).expect("a heartbeat");
+fn messages_of_the_previous_build_are_decoded_with_defaults() {
+    let decoded = decode_message(&bytes(PREVIOUS_HEARTBEAT)).expect("a heartbeat");
     let expected = Heartbeat { capabilities: Capabilities::default(), ..heartbeat() };
     assert!(!expected.capabilities.enforces_limits());
-    assert_eq!(read, PeerMessage::Heartbeat(expected));
-    let read = decode_message(&bytes(FORMER_ASK)).expect("an ask");
-    assert_eq!(read, PeerMessage::Grants(GrantMessage::Ask(GrantRequest { limit: None, ..ask() })));
+    assert_eq!(decoded, PeerMessage::Heartbeat(expected));
+    let decoded = decode_message(&bytes(PREVIOUS_GRANT_REQUEST)).expect("a grant request");
+    assert_eq!(
+        decoded,
+        PeerMessage::Grants(GrantMessage::Ask(GrantRequest { limit: None, ..grant_request() }))
+    );
 }
 
-/// The build before drops a message only for its first byte, or where its own fields cannot be read.
+/// The previous build drops a message only for an unknown first byte, or if its own fields cannot
+/// be decoded.
 #[test]
-fn the_build_before_reads_what_this_one_writes() {
-    let written = |message: &PeerMessage| encode_message(message).expect("short enough");
-    let (now, before) = (written(&PeerMessage::Heartbeat(heartbeat())), bytes(FORMER_HEARTBEAT));
-    assert_eq!(now[..before.len()], before, "what is new comes at the end");
-    let read: FormerHeartbeat = postcard::from_bytes(&now[2..]).expect("its fields are there");
-    assert_eq!((read.node.as_str(), read.heard, read.capacity), ("front-a-1", 3, 100));
-    let (now, before) =
-        (written(&PeerMessage::Grants(GrantMessage::Ask(ask()))), bytes(FORMER_ASK));
-    assert_eq!(now[..before.len()], before, "what is new comes at the end");
-    let read: FormerAsk = postcard::from_bytes(&now[3..]).expect("its fields are there");
-    assert_eq!((read.ask, read.left_ms, read.event_ms), (42, 700, 35));
+fn previous_build_decodes_messages_of_this_build() {
+    let encoded = |message: &PeerMessage| encode_message(message).expect("message fits a datagram");
+    let (current, previous) =
+        (encoded(&PeerMessage::Heartbeat(heartbeat())), bytes(PREVIOUS_HEARTBEAT));
+    assert_eq!(current[..previous.len()], previous, "new fields come last");
+    let decoded: PreviousHeartbeat =
+        postcard::from_bytes(&current[2..]).expect("all fields are present");
+    assert_eq!((decoded.node.as_str(), decoded.heard, decoded.capacity), ("front-a-1", 3, 100));
+    let (current, previous) = (
+        encoded(&PeerMessage::Grants(GrantMessage::Ask(grant_request()))),
+        bytes(PREVIOUS_GRANT_REQUEST),
+    );
+    assert_eq!(current[..previous.len()], previous, "new fields come last");
+    let decoded: PreviousGrantRequest =
+        postcard::from_bytes(&current[3..]).expect("all fields are present");
+    assert_eq!((decoded.ask, decoded.left_ms, decoded.event_ms), (42, 700, 35));
 }
 
-/// A kind that the build before does not know is one datagram that it drops, as it does with foreign bytes.
+/// The previous build drops a datagram of a kind that it does not know, like any foreign datagram.
 #[test]
-fn what_is_told_of_limits_comes_back_as_it_was() {
-    let report = ask().limit.expect("it has one");
-    let over = LimitReport { limit: None, ..report };
-    let message = PeerMessage::Limits(vec![report, over]);
-    let bytes = encode_message(&message).expect("short enough");
+fn limit_reports_survive_a_round_trip() {
+    let report = grant_request().limit.expect("the request has a limit");
+    let without_limit = LimitReport { limit: None, ..report };
+    let message = PeerMessage::Limits(vec![report, without_limit]);
+    let bytes = encode_message(&message).expect("message fits a datagram");
     assert_eq!(decode_message(&bytes), Some(message));
 }
 
 #[test]
-fn a_limit_that_is_none_is_not_believed_of_a_message() {
-    let mut bytes = encode_message(&PeerMessage::Grants(GrantMessage::Ask(ask()))).expect("short");
-    let at =
-        bytes.windows(8).position(|eight| eight == 2.1_f64.to_le_bytes()).expect("it is there");
+fn invalid_limits_in_a_message_are_ignored() {
+    let mut bytes = encode_message(&PeerMessage::Grants(GrantMessage::Ask(grant_request())))
+        .expect("message fits a datagram");
+    let at = bytes
+        .windows(8)
+        .position(|eight| eight == 2.1_f64.to_le_bytes())
+        .expect("the limit is encoded");
     for rate in [f64::NAN, f64::INFINITY, -1.0] {
         bytes[at..at + 8].copy_from_slice(&rate.to_le_bytes());
-        let read = decode_message(&bytes).expect("an ask");
+        let decoded = decode_message(&bytes).expect("a grant request");
         assert_eq!(
-            read,
-            PeerMessage::Grants(GrantMessage::Ask(GrantRequest { limit: None, ..ask() }))
+            decoded,
+            PeerMessage::Grants(GrantMessage::Ask(GrantRequest { limit: None, ..grant_request() }))
         );
     }
 }
 
 #[test]
-fn a_heartbeat_that_tells_no_era_is_read_and_one_that_does_begins_alike() {
-    let former = bytes(&format!("{FORMER_HEARTBEAT}{CAPABILITIES}"));
-    let read = decode_message(&former).expect("a heartbeat");
-    assert_eq!(read, PeerMessage::Heartbeat(heartbeat()));
+fn heartbeat_without_era_is_decoded_and_is_a_prefix_of_one_with_era() {
+    let previous = bytes(&format!("{PREVIOUS_HEARTBEAT}{CAPABILITIES}"));
+    let decoded = decode_message(&previous).expect("a heartbeat");
+    assert_eq!(decoded, PeerMessage::Heartbeat(heartbeat()));
     let mut eras = EraTracker::default();
     eras.learn(Time(1_000), StoreEra::from_number(3));
     eras.learn(Time(2_000), StoreEra::from_number(4));
     let store = eras.report(Time(2_700), 5);
-    let told = PeerMessage::Heartbeat(Heartbeat { store, ..heartbeat() });
-    let written = encode_message(&told).expect("short enough");
-    assert_eq!(written[..former.len()], former, "what is new comes at the end");
-    assert_eq!(decode_message(&written), Some(told));
+    let with_era = PeerMessage::Heartbeat(Heartbeat { store, ..heartbeat() });
+    let encoded = encode_message(&with_era).expect("message fits a datagram");
+    assert_eq!(encoded[..previous.len()], previous, "new fields come last");
+    assert_eq!(decode_message(&encoded), Some(with_era));
     assert_eq!((store.began_ms, store.kept), (Some(700), 5));
 }
 
 #[test]
-fn a_record_of_a_claim_that_tells_no_era_is_read_and_one_that_does_begins_alike() {
-    let former = bytes(FORMER_RECORD);
-    let read = ClaimRecord::read(&former).expect("a record");
+fn claim_record_without_era_is_decoded_and_is_a_prefix_of_one_with_era() {
+    let previous = bytes(PREVIOUS_CLAIM_RECORD);
+    let decoded = ClaimRecord::read(&previous).expect("a record");
     let (machine, eras) = ("n1|x".to_owned(), RecordEras::default());
-    assert_eq!(read, ClaimRecord { machine, settled: true, resigned: false, eras });
+    assert_eq!(decoded, ClaimRecord { machine, settled: true, resigned: false, eras });
     let eras = RecordEras { written: StoreEra::from_number(4), first: StoreEra::from_number(3) };
-    let told = ClaimRecord { eras, ..read };
-    assert_eq!(told.bytes()[..former.len()], former, "what is new comes at the end");
-    assert_eq!(ClaimRecord::read(&told.bytes()), Some(told));
+    let with_era = ClaimRecord { eras, ..decoded };
+    assert_eq!(with_era.bytes()[..previous.len()], previous, "new fields come last");
+    assert_eq!(ClaimRecord::read(&with_era.bytes()), Some(with_era));
 }
--- a/crates/portrack/tests/gateway/mirror_eras.rs
+++ b/crates/portrack/tests/gateway/mirror_eras.rs
@@ -1,12 +1,13 @@
-//! Copies of a store that comes back from older copies of itself, at a daemon that watches it and at one that follows.
+//! Mirrors of a store that is restored from older copies, at a daemon that watches it and at a
+//! follower.
 
 use portrack::gateway::{Mirror, MirrorUpdate, RestoreConflict, RetainFn};
 use portrack::store::{KvChange, KvEntry, KvList, StoreEra, StorePosition};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Believes all that was known.
-const ALL_KEPT: RetainFn<'static> = &|_: RestoreConflict<'_>| true;
+/// Retains every known value.
+const RETAIN_ALL: RetainFn<'static> = &|_: RestoreConflict<'_>| true;
 
 #[derive(Debug, Clone, Default)]
 struct Store {
@@ -25,8 +26,8 @@
         self.revision += 1;
         let key = format!("k{key}");
         self.items.insert(key.clone(), (self.revision, vec![value]));
-        let held = KvEntry { key, revision: self.revision, value: vec![value] };
-        self.history.push(KvChange::Put(held));
+        let entry = KvEntry { key, revision: self.revision, value: vec![value] };
+        self.history.push(KvChange::Put(entry));
     }
 
     fn remove(&mut self, key: u8) {
@@ -36,23 +37,23 @@
         self.history.push(KvChange::Deleted { key, revision: self.revision });
     }
 
-    fn come_back(&mut self, copy: Self) {
+    fn restore(&mut self, copy: Self) {
         *self = Self { era: self.era + 1, ..copy };
     }
 
     fn list(&self) -> KvList {
-        let held = |(key, (revision, value)): (&String, &(u64, Vec<u8>))| KvEntry {
+        let entry = |(key, (revision, value)): (&String, &(u64, Vec<u8>))| KvEntry {
             key: key.clone(),
             revision: *revision,
             value: value.clone(),
         };
-        let entries = self.items.iter().map(held).collect();
+        let entries = self.items.iter().map(entry).collect();
         KvList { era: self.era(), revision: self.revision, entries }
     }
 
     fn after(&self, revision: u64) -> impl Iterator<Item = KvChange> + '_ {
         let later = move |change: &&KvChange| match change {
-            KvChange::Put(held) => held.revision > revision,
+            KvChange::Put(entry) => entry.revision > revision,
             KvChange::Deleted { revision: at, .. } => *at > revision,
         };
         self.history.iter().filter(later).cloned()
@@ -67,34 +68,35 @@
     mirror.all().filter_map(|item| Some((item.key, item.value?))).collect()
 }
 
-/// The daemon that watches learns what changed, or reads all.
+/// The watching daemon applies the changes, or a complete list.
 fn watch(mirror: &mut Mirror, store: &Store) {
     let StorePosition { era, revision } = mirror.position();
     if era != store.era() || revision == 0 {
-        mirror.apply_all("", store.list(), ALL_KEPT);
+        mirror.apply_list("", store.list(), RETAIN_ALL);
     } else {
         store.after(revision).for_each(|change| drop(mirror.apply(era, change)));
     }
-    mirror.whole_up_to(StorePosition::new(store.era(), store.revision));
+    mirror.mark_complete(StorePosition::new(store.era(), store.revision));
 }
 
-/// The one that follows gets a frame.
+/// The follower receives a frame.
 fn feed(follower: &mut Mirror, source: &Mirror) {
-    let MirrorUpdate { position, whole, items, step } = source.news_after(follower.position());
+    let MirrorUpdate { position, is_snapshot, items, era_delta } =
+        source.update_since(follower.position());
     if position.era < follower.era() {
         return;
     }
-    let taken = match (whole, step) {
-        (true, _) => Some(follower.apply_whole("", position, items, ALL_KEPT)),
-        (false, Some(step)) => follower.take_step(position, step, items, ALL_KEPT),
+    let applied = match (is_snapshot, era_delta) {
+        (true, _) => Some(follower.apply_snapshot("", position, items, RETAIN_ALL)),
+        (false, Some(delta)) => follower.apply_era_delta(position, delta, items, RETAIN_ALL),
         (false, None) => Some(follower.apply_items(position.era, items)),
     };
-    if taken.is_none() {
-        let MirrorUpdate { position, items, .. } = source.news_after(StorePosition::default());
-        follower.apply_whole("", position, items, ALL_KEPT);
+    if applied.is_none() {
+        let MirrorUpdate { position, items, .. } = source.update_since(StorePosition::default());
+        follower.apply_snapshot("", position, items, RETAIN_ALL);
     }
-    follower.adopt(source.kept_items());
-    follower.whole_up_to(position);
+    follower.adopt_retained(source.retained_items());
+    follower.mark_complete(position);
 }
 
 #[derive(Debug, Clone)]
@@ -102,12 +104,12 @@
     Put(u8, u8),
     Remove(u8),
     Copy,
-    Return,
+    Restore,
     Watch,
     Feed,
-    /// The source is asked by the follower, or the other way round after a cut.
-    FeedBack,
-    Believe,
+    /// The source receives a frame from the follower, as after a network partition.
+    ReverseFeed,
+    DropRetained,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -115,22 +117,22 @@
         6 => (0_u8..6, any::<u8>()).prop_map(|(key, value)| Step::Put(key, value)),
         3 => (0_u8..6).prop_map(Step::Remove),
         2 => Just(Step::Copy),
-        1 => Just(Step::Return),
+        1 => Just(Step::Restore),
         5 => Just(Step::Watch),
         4 => Just(Step::Feed),
-        1 => Just(Step::FeedBack),
-        1 => Just(Step::Believe),
+        1 => Just(Step::ReverseFeed),
+        1 => Just(Step::DropRetained),
     ]
 }
 
-fn check_kept(mirror: &Mirror) -> Result<(), TestCaseError> {
-    let kept = mirror.kept_items();
-    prop_assert_eq!(mirror.kept(), kept.len());
-    let news = mirror.news_after(StorePosition::default());
-    for item in kept {
-        let told = news.items.iter().find(|told| told.key == item.key);
-        let stored = told.and_then(|told| told.value.clone());
-        prop_assert_eq!(stored, item.stored, "what is believed is not told as the store's");
+fn check_retained(mirror: &Mirror) -> Result<(), TestCaseError> {
+    let retained = mirror.retained_items();
+    prop_assert_eq!(mirror.kept(), retained.len());
+    let update = mirror.update_since(StorePosition::default());
+    for item in retained {
+        let item_sent = update.items.iter().find(|item_sent| item_sent.key == item.key);
+        let stored = item_sent.and_then(|item_sent| item_sent.value.clone());
+        prop_assert_eq!(stored, item.stored, "retained values are not sent as the store's");
     }
     Ok(())
 }
@@ -139,7 +141,7 @@
     #![proptest_config(ProptestConfig { cases: 3_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_lost_both_copies_end_as_the_store_is(
+    fn both_mirrors_converge_to_the_store_after_restores(
         steps in proptest::collection::vec(step(), 0..60)
     ) {
         let (mut store, mut copy) = (Store::default(), Store::default());
@@ -149,32 +151,32 @@
                 Step::Put(key, value) => store.put(key, value),
                 Step::Remove(key) => store.remove(key),
                 Step::Copy => copy = store.clone(),
-                Step::Return => {
+                Step::Restore => {
                     let era = store.era;
-                    store.come_back(copy.clone());
+                    store.restore(copy.clone());
                     store.era = era + 1;
                 }
                 Step::Watch => watch(&mut source, &store),
                 Step::Feed => feed(&mut follower, &source),
-                Step::FeedBack => feed(&mut source, &follower),
-                Step::Believe => {
-                    source.believe_store();
-                    follower.believe_store();
+                Step::ReverseFeed => feed(&mut source, &follower),
+                Step::DropRetained => {
+                    source.drop_retained();
+                    follower.drop_retained();
                 }
             }
-            check_kept(&source)?;
-            check_kept(&follower)?;
+            check_retained(&source)?;
+            check_retained(&follower)?;
         }
         watch(&mut source, &store);
         feed(&mut follower, &source);
-        source.believe_store();
-        follower.believe_store();
+        source.drop_retained();
+        follower.drop_retained();
         prop_assert_eq!(values(&source), store.values());
         prop_assert_eq!(values(&follower), store.values());
     }
 
     #[test]
-    fn what_is_written_after_a_return_is_believed_at_once(
+    fn writes_after_a_restore_take_effect_immediately(
         before in proptest::collection::vec((0_u8..6, any::<u8>()), 1..20),
         lost in proptest::collection::vec((0_u8..6, any::<u8>()), 0..20),
         after in proptest::collection::vec((0_u8..6, any::<u8>()), 1..20),
@@ -187,7 +189,7 @@
         lost.iter().for_each(|(key, value)| store.put(*key, *value));
         watch(&mut source, &store);
         feed(&mut follower, &source);
-        store.come_back(copy);
+        store.restore(copy);
         watch(&mut source, &store);
         feed(&mut follower, &source);
         after.iter().for_each(|(key, value)| store.put(*key, *value));
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn what_a_copy_lacks_is_believed_and_told_apart_until_it_ends() {
+fn values_missing_from_a_restored_copy_are_retained_until_dropped() {
     let mut store = Store::default();
     store.put(1, 10);
     let copy = store.clone();
@@ -211,25 +213,30 @@
     store.put(2, 20);
     let mut mirror = Mirror::default();
     watch(&mut mirror, &store);
-    store.come_back(copy);
-    assert_eq!(mirror.apply_all("", store.list(), ALL_KEPT), [], "nothing changes at first");
+    store.restore(copy);
+    assert_eq!(
+        mirror.apply_list("", store.list(), RETAIN_ALL),
+        [],
+        "all known values are retained"
+    );
     assert_eq!(values(&mirror), [("k1".into(), vec![11]), ("k2".into(), vec![20])].into());
     assert_eq!(mirror.kept(), 2);
-    // A former reading that comes late changes nothing.
+    // A delayed list of an earlier era changes nothing.
     let late = KvList { era: StoreEra::from_number(0), revision: 9, entries: Vec::new() };
-    assert_eq!(mirror.apply_all("", late, ALL_KEPT), []);
-    mirror.believe_store();
+    assert_eq!(mirror.apply_list("", late, RETAIN_ALL), []);
+    mirror.drop_retained();
     assert_eq!(values(&mirror), store.values());
 }
 
-/// What is sent of items, in bytes.
-fn sent(news: &MirrorUpdate) -> usize {
-    let gone = news.step.as_ref().map_or(0, |step| step.gone.iter().map(String::len).sum());
-    gone + postcard::to_allocvec(&news.items).expect("it can be written").len()
+/// The size of the items and removed keys that are sent, in bytes.
+fn sent_bytes(update: &MirrorUpdate) -> usize {
+    let gone =
+        update.era_delta.as_ref().map_or(0, |delta| delta.gone.iter().map(String::len).sum());
+    gone + postcard::to_allocvec(&update.items).expect("items are encodable").len()
 }
 
 #[test]
-fn a_return_is_told_to_followers_without_what_is_the_same() {
+fn restore_sends_followers_only_the_differences() {
     const ITEMS: u64 = 3_000;
     let (mut store, mut source, mut follower) =
         (Store::default(), Mirror::default(), Mirror::default());
@@ -242,16 +249,21 @@
     let copy = store.clone();
     (0..6).for_each(|n| store.put(n, n));
     watch(&mut source, &store);
-    store.come_back(copy);
+    store.restore(copy);
     store.put(3, 9);
     watch(&mut source, &store);
-    let (step, whole) =
-        (source.news_after(follower.position()), source.news_after(StorePosition::default()));
-    assert!(step.step.is_some() && whole.whole);
-    assert!(sent(&step) * 1_000 < sent(&whole), "{} and {}", sent(&step), sent(&whole));
+    let (delta, snapshot) =
+        (source.update_since(follower.position()), source.update_since(StorePosition::default()));
+    assert!(delta.era_delta.is_some() && snapshot.is_snapshot);
+    assert!(
+        sent_bytes(&delta) * 1_000 < sent_bytes(&snapshot),
+        "{} and {}",
+        sent_bytes(&delta),
+        sent_bytes(&snapshot)
+    );
     feed(&mut follower, &source);
-    assert_eq!(values(&follower).len(), ITEMS as usize + 6, "what was lost is believed");
-    source.believe_store();
-    follower.believe_store();
+    assert_eq!(values(&follower).len(), ITEMS as usize + 6, "lost values are retained");
+    source.drop_retained();
+    follower.drop_retained();
     assert_eq!(values(&follower), store.values());
 }
