--- a/crates/portrack/src/gateway/fleet/backend.rs
+++ b/crates/portrack/src/gateway/fleet/backend.rs
@@ -5,49 +5,51 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One life of a backend server.
+/// One incarnation of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Backend {
-    /// Names the server; one that starts again may keep it.
+    /// The server's id. A server that restarts may keep it.
     pub id: Rc<str>,
-    /// Its start, in milliseconds of its own time of day: tells the lives under one id apart, and is
-    /// compared with each other only. `None` where servers do not say it.
+    /// Start time in milliseconds of the server's own clock. Distinguishes the incarnations under
+    /// one id, and is only ever compared with other start times of that server. `None` if the
+    /// servers do not report it.
     pub born: Option<u64>,
     /// The service it belongs to.
     pub service: Rc<str>,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: Rc<str>,
-    /// Requests at once.
+    /// How many requests it runs at once.
     pub slots: usize,
-    /// It says that it is leaving.
+    /// The server reports that it is leaving.
     pub draining: bool,
-    /// The time it has left, if it says so.
+    /// The time until it leaves, if it reports that.
     pub leaves_in: Option<Duration>,
-    /// How much longer it is slow from its start, as it stood when the entry was written.
+    /// How much longer it is slow after its start, at the time the entry was written.
     pub cold_for: Duration,
-    /// Orders that it had taken in this life when the entry was written.
+    /// Number of orders that this incarnation had accepted when the entry was written.
     pub orders_taken: u64,
-    /// It says what it holds, as servers with models have to.
+    /// The entry lists the models that the server holds, which is required of servers with engines.
     pub reports_models: bool,
-    /// What it holds.
+    /// The models that it holds.
     pub models: Vec<HeldModel>,
 }
 
 impl Backend {
-    /// The short name of this life in messages between daemons: what is told of a former one fits nothing.
+    /// Hash that identifies this incarnation in messages between daemons. Messages about an earlier
+    /// incarnation match no server.
     pub fn incarnation_hash(&self) -> u32 {
         incarnation_hash(&self.id, self.born)
     }
 
-    /// What it holds of a model.
+    /// Returns the entry of a model that the server holds.
     pub fn model(&self, name: &str) -> Option<&HeldModel> {
         self.models.iter().find(|model| &*model.name == name)
     }
 }
 
-/// The short name of one life of a server; of its only one where servers do not tell lives apart.
+/// Hash of one incarnation of a server, or of its id alone if servers do not report their start.
 pub fn incarnation_hash(id: &str, born: Option<u64>) -> u32 {
     match born {
         None => server_hash(id),
@@ -55,7 +57,7 @@
     }
 }
 
-/// A base model at a server.
+/// A base model held by a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldModel {
     /// Its name.
@@ -64,7 +66,7 @@
     pub adapters: Vec<HeldAdapter>,
 }
 
-/// An adapter at a server.
+/// An adapter held by a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldAdapter {
     /// Its name.
--- a/crates/portrack/src/gateway/fleet/cold_start_tracker.rs
+++ b/crates/portrack/src/gateway/fleet/cold_start_tracker.rs
@@ -1,7 +1,8 @@
-//! Which servers may be slow from their start. In doubt a server is cold.
+//! Tracks which servers may still be slow after their start. When in doubt, a server counts as
+//! cold.
 //!
-//! In doubt are servers that are not known, whose entry may be an old one, that broke off, or that got
-//! nothing for a while.
+//! That applies to servers that are unknown, whose entry may be outdated, that broke off a
+//! connection, or that got no requests for a while.
 
 use super::backend::Backend;
 use super::config::ColdStart;
@@ -9,23 +10,23 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The name, in logs, of news that a daemon caught up with from another one.
+/// Source name in logs for a store change received from another daemon.
 pub const SOURCE_PEER: &str = "peer";
-/// The same of what a server's report told before its entry did.
+/// Source name in logs for a server's own report that arrived before its entry.
 pub const SOURCE_REPORT: &str = "report";
 
-/// How a server's entry was learned.
+/// How a server's entry was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntrySource {
-    /// From the store, or from a daemon that watches it: what the entry says holds now.
+    /// From the store, or from a daemon that watches it: the entry is current.
     Direct,
-    /// From a daemon that may know an older one, or from a server's report, which tells its life and not
-    /// how cold it is.
+    /// From a daemon whose entry may be outdated, or from a server's report, which gives its
+    /// incarnation but not how cold it is.
     Indirect,
 }
 
 impl EntrySource {
-    /// By the name that a source of news has in logs.
+    /// Maps the source name used in logs.
     pub fn of(source: &str) -> Self {
         match source {
             SOURCE_PEER | SOURCE_REPORT => Self::Indirect,
@@ -34,60 +35,62 @@
     }
 }
 
-/// What is known of one server.
+/// What is known about one server.
 #[derive(Debug, Clone, Copy)]
-struct Evidence {
-    /// The life that it is of.
+struct ServerState {
+    /// The incarnation that this is about.
     born: Option<u64>,
-    /// From then on the server may have turned cold without a word of it; `None` for no such moment.
-    doubted_at: Option<Time>,
-    /// It is cold until then, by its own word.
-    told_until: Time,
+    /// From this time on the server may have turned cold without reporting it; `None` if there is
+    /// no such time.
+    assumed_cold_at: Option<Time>,
+    /// The server reported that it is cold until this time.
+    reported_until: Time,
 }
 
-/// The servers that are cold, as far as known.
+/// Cold state of the known servers.
 #[derive(Debug, Clone, Default)]
 pub struct ColdStartTracker {
-    servers: HashMap<Rc<str>, Evidence>,
+    servers: HashMap<Rc<str>, ServerState>,
 }
 
 impl ColdStartTracker {
-    /// Takes a server's entry in. What it says of the remaining time is counted from now: it was
-    /// written before, so the server is cold no longer than that. A server that is new here, or has
-    /// started again, is in doubt where the entry may be an old one. What the
-    /// store tells is current, so a daemon that starts need not take all servers for cold.
+    /// Applies a server's entry. The remaining time in it is counted from now; the entry was
+    /// written earlier, so the server is cold no longer than that. A server that is new here or has
+    /// restarted is assumed cold if the entry may be outdated. Entries from the store are current,
+    /// so a daemon that starts need not treat all servers as cold.
     pub fn on_entry(&mut self, now: Time, backend: &Backend, source: EntrySource) {
-        let told_until = now + backend.cold_for;
-        let doubted_at = (source == EntrySource::Indirect).then_some(now);
-        let fresh = Evidence { born: backend.born, doubted_at, told_until };
-        let evidence = self.servers.entry(backend.id.clone()).or_insert(fresh);
-        if evidence.born != backend.born {
-            *evidence = fresh;
+        let reported_until = now + backend.cold_for;
+        let assumed_cold_at = (source == EntrySource::Indirect).then_some(now);
+        let initial = ServerState { born: backend.born, assumed_cold_at, reported_until };
+        let state = self.servers.entry(backend.id.clone()).or_insert(initial);
+        if state.born != backend.born {
+            *state = initial;
         }
-        evidence.told_until = evidence.told_until.max(told_until);
+        state.reported_until = state.reported_until.max(reported_until);
     }
 
-    /// A server may have turned cold by now, as after a time in which it got nothing.
+    /// Assumes that a server may have turned cold by now, for instance after a time without
+    /// requests.
     pub fn assume_cold(&mut self, now: Time, server: &str) {
-        if let Some(evidence) = self.servers.get_mut(server) {
-            evidence.doubted_at = Some(now);
+        if let Some(state) = self.servers.get_mut(server) {
+            state.assumed_cold_at = Some(now);
         }
     }
 
-    /// A server is gone.
+    /// Removes a server.
     pub fn gone(&mut self, server: &str) {
         self.servers.remove(server);
     }
 
-    /// Until when a server has to be taken for cold, if servers of its service are slow from their
-    /// start. One that is not known is cold.
+    /// The time until which a server has to be treated as cold, for a service whose servers start
+    /// slowly. An unknown server is cold.
     pub fn cold_until(&self, now: Time, server: &str, start: &ColdStart) -> Time {
-        let Some(evidence) = self.servers.get(server) else { return now + start.duration };
-        let doubted = evidence.doubted_at.map(|at| at + start.duration);
-        doubted.map_or(evidence.told_until, |until| until.max(evidence.told_until))
+        let Some(state) = self.servers.get(server) else { return now + start.duration };
+        let assumed = state.assumed_cold_at.map(|at| at + start.duration);
+        assumed.map_or(state.reported_until, |until| until.max(state.reported_until))
     }
 
-    /// True if a server has to be taken for cold.
+    /// Returns true if a server has to be treated as cold.
     pub fn is_cold(&self, now: Time, server: &str, start: Option<&ColdStart>) -> bool {
         start.is_some_and(|start| now < self.cold_until(now, server, start))
     }
--- a/crates/portrack/src/gateway/fleet/config.rs
+++ b/crates/portrack/src/gateway/fleet/config.rs
@@ -6,65 +6,66 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A whole configuration; replaced only by one of a higher version.
+/// A complete configuration. It is replaced only by one with a higher version.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Rises with each change, in uneven steps.
+    /// Increases with each change, not necessarily by one.
     pub version: u64,
-    /// Which requests go where.
+    /// The routes, which map requests to services.
     pub routes: Vec<Rc<Route>>,
-    /// The services that routes lead to.
+    /// The services that the routes refer to.
     pub services: BTreeMap<Rc<str>, Rc<Service>>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Whose keys open the routes that are not public; `None` where no route asks for one.
+    /// The organisations whose keys are accepted on routes that are not public; `None` if no route
+    /// requires a key.
     pub organisations: Option<Organisations>,
 }
 
-/// What may be repeated.
+/// Whether requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Repeatable,
-    /// Runs at most once a caller's attempt.
+    /// A request runs at most once per attempt of the caller.
     Once,
-    /// A stream of events; repeatable only if the route may be resumed.
+    /// An event stream; repeatable only if the route is resumable.
     Stream,
 }
 
 /// One route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: Rc<str>,
-    /// The host it belongs to, without a port, in lower case.
+    /// Host of the route, without port, in lower case.
     pub host: String,
-    /// Begins the paths it matches; begins and ends with a slash.
+    /// Path prefix that requests must match; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// The longest that a request is held.
+    /// Longest time that a request is held.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, earns its full worth.
+    /// A response, or its first event, that arrives within this time has its full value.
     pub objective: Duration,
-    /// The longest pause between events of an answer in time.
+    /// Longest gap between two events of a response that counts as timely.
     pub gap_objective: Option<Duration>,
-    /// The most servers one attempt of a caller is sent to.
+    /// Largest number of servers that one attempt of a caller is sent to.
     pub attempts: u32,
-    /// Rank, 0 highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services with their shares.
+    /// Services and their weights.
     pub targets: Vec<Target>,
-    /// A broken stream may be taken up at another server.
+    /// A broken stream may be resumed on another server.
     pub resumable: bool,
-    /// Open to callers without a key.
+    /// Callers need no key.
     pub public: bool,
-    /// The only regions in which its requests may be served; any if left out.
+    /// The only regions that may serve its requests; `None` allows all regions.
     pub allowed_regions: Option<AllowedRegions>,
 }
 
 impl Route {
-    /// True if a request may run a second time.
+    /// Returns true if a request may run more than once.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -74,12 +75,12 @@
     }
 }
 
-/// A service with its share of a route.
+/// A service and its weight within a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// The service's name.
     pub service: Rc<str>,
-    /// Its share against the other targets of the route.
+    /// Weight relative to the other targets of the route.
     pub weight: u32,
 }
 
@@ -90,49 +91,49 @@
     pub name: Rc<str>,
     /// Connections that a server accepts from all callers together.
     pub max_connections: usize,
-    /// Its engines, if its servers hold models.
+    /// The engines, if its servers hold models.
     pub engine: Option<EngineSpec>,
-    /// What its servers bear while they are cold; `None` if they are never slow from their start.
+    /// What its servers can handle while cold; `None` if they are not slow after their start.
     pub cold: Option<ColdStart>,
-    /// Where a server tells its health.
+    /// Path of a server's health endpoint.
     pub health_path: String,
 }
 
-/// What a server bears that has just started.
+/// What a server can handle just after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// How long it is cold.
+    /// How long it stays cold.
     pub duration: Duration,
-    /// Requests a second that it bears meanwhile.
+    /// Requests per second that it handles while cold.
     pub per_second: f64,
 }
 
-/// What the servers of a service hold.
+/// Capacity of the engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
-    /// Requests at once.
+    /// Requests that run at once.
     pub slots: usize,
-    /// Tokens of memory.
+    /// Memory, in tokens.
     pub memory_tokens: u64,
     /// Memory for weights and adapters together, in MB.
     pub weights_mb: f64,
-    /// Places for adapters.
+    /// Slots for adapters.
     pub adapter_slots: usize,
-    /// Loads from the weight store a second, over all servers.
+    /// Loads per second from the weight store, over all servers.
     pub loads_per_second: f64,
-    /// Tokens that one event of a stream holds.
+    /// Tokens per stream event.
     pub event_tokens: u32,
     /// The base models.
     pub models: Vec<ModelSpec>,
 }
 
 impl EngineSpec {
-    /// A model by its name.
+    /// Returns a model by its name.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|model| &*model.name == name)
     }
 
-    /// Adapters that fit beside a model, pending ones and replacements included.
+    /// Number of adapters that fit beside a model, including pending loads and replacements.
     pub fn adapter_room(&self, model: &ModelSpec) -> usize {
         if model.adapter_mb <= 0.0 {
             return self.adapter_slots;
@@ -150,7 +151,7 @@
     pub name: Rc<str>,
     /// Its weights, in MB.
     pub weights_mb: f64,
-    /// Load time from the weight store.
+    /// Time to load it from the weight store.
     pub load_time: Duration,
     /// Number of adapters.
     pub adapters: u32,
@@ -158,16 +159,16 @@
     pub adapter_mb: f64,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// For the head to arrive once it has begun.
+    /// Time for the head to arrive once it has begun.
     pub header_timeout: Duration,
-    /// An idle connection is kept for this long.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
--- a/crates/portrack/src/gateway/fleet/daemons.rs
+++ b/crates/portrack/src/gateway/fleet/daemons.rs
@@ -1,4 +1,4 @@
-//! Which daemons do a duty for others: every daemon with the same list makes the same choice.
+//! Selects the daemons that do a task for others. Daemons with the same list make the same choice.
 
 use super::message::Capabilities;
 use crate::types::Time;
@@ -9,30 +9,30 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A daemon that may do duties for others.
+/// A daemon that may do tasks for others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DaemonInfo {
-    /// Where it hears datagrams.
+    /// The address it receives datagrams on.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: Rc<str>,
-    /// How much work for others its node is suited to.
+    /// Capacity of its node for work on behalf of others.
     pub capacity: u32,
-    /// What its build does for others.
+    /// Optional features that its build supports.
     pub capabilities: Capabilities,
 }
 
-/// Daemons that did not answer, each until a time; they are not asked before it.
+/// Daemons that did not respond, each with the time until which it gets no requests.
 #[derive(Debug, Default)]
 pub struct UnresponsiveDaemons(RefCell<HashMap<SocketAddr, Time>>);
 
 impl UnresponsiveDaemons {
-    /// Leaves a daemon alone until a time.
+    /// Sends no requests to a daemon until the given time.
     pub fn avoid(&self, daemon: SocketAddr, until: Time) {
         self.0.borrow_mut().insert(daemon, until);
     }
 
-    /// True if a daemon is left alone.
+    /// Returns true if a daemon is currently avoided.
     pub fn contains(&self, now: Time, daemon: SocketAddr) -> bool {
         let mut all = self.0.borrow_mut();
         all.retain(|_, until| now < *until);
@@ -40,18 +40,19 @@
     }
 }
 
-/// All daemons that are up and stay, as far as known, this one included.
+/// All daemons known to be up and not leaving, including this one.
 #[derive(Debug, Clone, Default)]
 pub struct Daemons(Vec<DaemonInfo>);
 
 impl Daemons {
-    /// The daemons in a list.
+    /// Creates the list.
     pub fn new(all: Vec<DaemonInfo>) -> Self {
         Self(all)
     }
 
-    /// Those that may do duties for others, as `me` sees them: itself among them unless it is being stopped. Others leave it
-    /// out then, so that two daemons would do the same duty, each without knowing what the other one gives.
+    /// The daemons that may do tasks for others, as seen by `me`. It includes `me` unless that is
+    /// stopping: others leave a stopping daemon out, so two daemons would do the same task without
+    /// knowing what the other one grants.
     pub fn eligible(me: DaemonInfo, stopping: bool, others: Vec<DaemonInfo>) -> Self {
         let mut all = others;
         if all.is_empty() || !stopping {
@@ -60,55 +61,56 @@
         Self(all)
     }
 
-    /// All of them.
+    /// Iterates over all daemons.
     pub fn all(&self) -> impl Iterator<Item = &DaemonInfo> {
         self.0.iter()
     }
 
-    /// True if a daemon is known to keep the limits that servers name.
+    /// Returns true if a daemon is known to enforce the limits that servers advertise.
     pub fn enforces_limits(&self, address: SocketAddr) -> bool {
         let daemon = self.0.iter().find(|daemon| daemon.address == address);
         daemon.is_some_and(|daemon| daemon.capabilities.enforces_limits())
     }
 
-    /// How many there are.
+    /// Number of daemons.
     pub fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// Daemons in the order in which they are to do a duty: those of the best suited nodes first,
-    /// others in an order that differs from one duty to the next.
-    fn order(&self, duty: u64, fits: impl Fn(&DaemonInfo) -> bool) -> Vec<&DaemonInfo> {
+    /// The preference order for a routing key: nodes with the highest capacity first, and among
+    /// equals an order that depends on the key.
+    fn order(&self, key: u64, fits: impl Fn(&DaemonInfo) -> bool) -> Vec<&DaemonInfo> {
         let mut order: Vec<&DaemonInfo> = self.0.iter().filter(|daemon| fits(daemon)).collect();
-        let weight =
-            |daemon: &DaemonInfo| xxh3_64_with_seed(daemon.address.to_string().as_bytes(), duty);
-        order.sort_by_cached_key(|daemon| (Reverse(daemon.capacity), weight(daemon)));
+        let tie_break =
+            |daemon: &DaemonInfo| xxh3_64_with_seed(daemon.address.to_string().as_bytes(), key);
+        order.sort_by_cached_key(|daemon| (Reverse(daemon.capacity), tie_break(daemon)));
         order
     }
 
-    /// The daemon to ask for a duty, of those that fit.
-    pub fn first(&self, duty: u64, fits: impl Fn(&DaemonInfo) -> bool) -> Option<SocketAddr> {
-        self.order(duty, fits).first().map(|daemon| daemon.address)
+    /// The preferred daemon for a routing key, of those that match `fits`.
+    pub fn first(&self, key: u64, fits: impl Fn(&DaemonInfo) -> bool) -> Option<SocketAddr> {
+        self.order(key, fits).first().map(|daemon| daemon.address)
     }
 
-    /// The daemon to ask for a duty of a hall: of the first `some` there, one that fits.
+    /// The preferred daemon of a hall: the first one that matches `fits` among the top `limit` of
+    /// that hall.
     pub fn first_of_hall(
         &self,
-        duty: u64,
+        key: u64,
         hall: &str,
-        some: usize,
+        limit: usize,
         fits: impl Fn(&DaemonInfo) -> bool,
     ) -> Option<SocketAddr> {
-        let order = self.order(duty, |daemon| &*daemon.hall == hall);
-        let first = order.into_iter().take(some).find(|daemon| fits(daemon));
+        let order = self.order(key, |daemon| &*daemon.hall == hall);
+        let first = order.into_iter().take(limit).find(|daemon| fits(daemon));
         first.map(|daemon| daemon.address)
     }
 
-    /// The first `some` of each hall.
-    pub fn of_each_hall(&self, duty: u64, some: usize) -> Vec<SocketAddr> {
+    /// The top `limit` daemons of each hall.
+    pub fn of_each_hall(&self, key: u64, limit: usize) -> Vec<SocketAddr> {
         let halls: BTreeSet<&str> = self.0.iter().map(|daemon| &*daemon.hall).collect();
         let all = halls.into_iter().flat_map(|hall| {
-            self.order(duty, |daemon| &*daemon.hall == hall).into_iter().take(some)
+            self.order(key, |daemon| &*daemon.hall == hall).into_iter().take(limit)
         });
         all.map(|daemon| daemon.address).collect()
     }
--- a/crates/portrack/src/gateway/fleet/gossip.rs
+++ b/crates/portrack/src/gateway/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons beside heartbeats: demand, notices of placement, loads.
+//! Datagrams between daemons other than heartbeats: adapter demand, placement notices, loads.
 
 use super::message::{
     AdapterLoadRequest, AdapterUsage, MAX_DATAGRAM, NoticeState, PeerMessage, PlacementNotice,
@@ -18,27 +18,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Uses are told this often.
-const USES_TOLD: Duration = Duration::from_millis(600);
-/// Between looks at requests that wait for a slot or a grant.
-const SLOTS_LOOK: Duration = Duration::from_millis(20);
-/// Between looks at the store's records of requests that are held back: a fleet that is killed whole
-/// forgets what it has not written.
-const RECORDS_KEPT: Duration = Duration::from_millis(200);
-/// Wishes and uses in one datagram.
+/// Interval of usage reports.
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval at which queues of requests that wait for a slot or a grant are checked.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the store's records of held requests are synchronised. What is not written is
+/// lost if all daemons of a fleet are killed.
+const RECORD_SYNC_INTERVAL: Duration = Duration::from_millis(200);
+/// Load requests or usage reports per datagram.
 const DEMAND_CHUNK: usize = 20;
-/// Notices in one datagram.
+/// Notices per datagram.
 const NOTICE_CHUNK: usize = 12;
-/// A datagram could not be received; the pause before the next try.
+/// Pause after a datagram could not be received.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 
 impl GatewayDaemon {
-    /// Sends one datagram; a full socket buffer loses it.
+    /// Sends a datagram. It is lost if the socket buffer is full.
     pub fn send(&self, message: &PeerMessage, to: SocketAddr) {
         self.messenger.send(message, to);
     }
 
-    /// Tells accountants of quotas what they must know, for ever.
+    /// Runs for ever, and sends quota counts to the accountants.
     pub async fn run_quota_reports(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(COUNTS_INTERVAL).await;
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Lets requests that wait for a slot or a grant have their turn, for ever.
+    /// Runs for ever, and advances the queues of requests that wait for a slot or a grant.
     pub async fn run_queue_timers(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(SLOTS_LOOK).await;
+            actix_rt::time::sleep(QUEUE_CHECK_INTERVAL).await;
             self.handler.slots.tick();
             self.handler.grants.tick();
             self.handler.quarantine.tick();
@@ -58,15 +58,15 @@
         }
     }
 
-    /// Keeps the store's records of requests that are held back, for ever.
+    /// Runs for ever, and synchronises the store's records of held requests.
     pub async fn run_held_request_records(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(RECORDS_KEPT).await;
+            actix_rt::time::sleep(RECORD_SYNC_INTERVAL).await;
             self.handler.quarantine.sync_records().await;
         }
     }
 
-    /// Takes datagrams in, for ever.
+    /// Runs for ever, and dispatches received datagrams.
     pub async fn receive_datagrams(self: Rc<Self>) {
         let mut buffer = [0_u8; MAX_DATAGRAM + 1];
         loop {
@@ -83,8 +83,8 @@
     fn on_message(self: &Rc<Self>, message: PeerMessage, from: SocketAddr) {
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat),
-            PeerMessage::Wishes(wishes) => self.on_wishes(&wishes, Some(from)),
-            PeerMessage::Uses(uses) => self.on_uses(&uses, from),
+            PeerMessage::Wishes(requests) => self.on_load_requests(&requests, Some(from)),
+            PeerMessage::Uses(usage) => self.on_usage(&usage, from),
             PeerMessage::Placement(notices) => {
                 self.on_notices(&notices);
                 self.feed.push(&notices);
@@ -97,59 +97,64 @@
             PeerMessage::Slots(message) => self.handler.slots.on_message(message, from),
             PeerMessage::Grants(message) => self.handler.grants.on_message(message, from),
             PeerMessage::Quarantine(message) => self.handler.quarantine.on_message(message),
-            PeerMessage::Leaving(marks) => self.handler.leaving.on_message(&marks),
-            PeerMessage::KnownAs(former) => self.raise_above(former),
+            PeerMessage::Leaving(hashes) => self.handler.leaving.on_message(&hashes),
+            PeerMessage::KnownAs(known) => self.raise_above(known),
             PeerMessage::Limits(reports) => self.handler.grants.on_limits(&reports),
             PeerMessage::Quota(message) => self.handler.quotas.on_message(message, from),
         }
     }
 
-    /// Meets wishes at servers that this daemon orders, and answers what is known at once.
-    fn on_wishes(self: &Rc<Self>, wishes: &[AdapterLoadRequest], from: Option<SocketAddr>) {
+    /// Handles load requests for servers whose claims this daemon holds, and replies with what is
+    /// known at once.
+    fn on_load_requests(
+        self: &Rc<Self>,
+        requests: &[AdapterLoadRequest],
+        from: Option<SocketAddr>,
+    ) {
         let now = self.now();
         let mut answers = Vec::new();
-        for wish in wishes {
-            let server: Rc<str> = wish.server.as_str().into();
-            let key = key_of(&wish.model, &wish.adapter);
+        for request in requests {
+            let server: Rc<str> = request.server.as_str().into();
+            let key = key_of(&request.model, &request.adapter);
             let born = self.handler.view.borrow().born(&server);
-            let ours = self.order_executor.claims.borrow().may_order(now, &server).is_some();
-            let answer = match ours {
+            let is_ours = self.order_executor.claims.borrow().may_order(now, &server).is_some();
+            let answer = match is_ours {
                 true => {
                     let mut planner = self.order_executor.planner.borrow_mut();
-                    planner.request_load(now, &server, &key, wish.version, wish.requests)
+                    planner.request_load(now, &server, &key, request.version, request.requests)
                 }
                 false => LoadRequestAnswer::Refused,
             };
             let state = match answer {
                 LoadRequestAnswer::Held(version) => NoticeState::Held(version),
                 LoadRequestAnswer::Coming(after) => {
-                    NoticeState::Coming(wish.version, after.as_millis() as u32)
+                    NoticeState::Coming(request.version, after.as_millis() as u32)
                 }
                 LoadRequestAnswer::Refused => NoticeState::Refused,
             };
             answers.push(PlacementNotice {
-                server: wish.server.clone(),
-                model: wish.model.clone(),
-                adapter: wish.adapter.clone(),
+                server: request.server.clone(),
+                model: request.model.clone(),
+                adapter: request.adapter.clone(),
                 state,
                 born,
             });
         }
         match from {
-            Some(address) => self.tell_notices(&answers, &[address]),
+            Some(address) => self.send_notices(&answers, &[address]),
             None => self.on_notices(&answers),
         }
         self.order_executor.start_due_steps(self);
     }
 
-    fn on_uses(&self, uses: &[AdapterUsage], from: SocketAddr) {
+    fn on_usage(&self, usage: &[AdapterUsage], from: SocketAddr) {
         let now = self.now();
         let claims = self.order_executor.claims.borrow();
-        let marks: HashMap<u32, Rc<str>> =
+        let ids_by_hash: HashMap<u32, Rc<str>> =
             claims.all().map(|(id, _)| (server_hash(id), id.clone())).collect();
         let mut planner = self.order_executor.planner.borrow_mut();
-        for used in uses {
-            let Some(server) = marks.get(&used.server) else { continue };
+        for used in usage {
+            let Some(server) = ids_by_hash.get(&used.server) else { continue };
             let key = key_of(&used.model, &used.adapter);
             if used.running || used.times > 0 {
                 planner.record_use(now, server, &key, used.times);
@@ -158,13 +163,14 @@
         }
     }
 
-    /// Applies what servers report of their load, and passes it on to this daemon's followers.
+    /// Applies the loads that servers report, and forwards them to this daemon's followers.
     pub(in crate::gateway) fn on_loads(&self, loads: &[ServerLoad]) {
         self.handler.loads.record_reports(self.now(), loads);
         self.feed.push_loads(loads);
     }
 
-    /// Applies what other daemons have changed at servers, if it is of the life that is known here.
+    /// Applies changes that other daemons made at servers, unless they concern another incarnation
+    /// than the known one.
     pub(in crate::gateway) fn on_notices(&self, notices: &[PlacementNotice]) {
         let now = self.now();
         let mut view = self.handler.view.borrow_mut();
@@ -181,95 +187,95 @@
                 NoticeState::Absent => Presence::Absent,
                 NoticeState::Refused => Presence::Refused,
             };
-            let holds = match presence {
+            let ttl = match presence {
                 Presence::Refused => REFUSAL_TTL,
                 _ => NOTICE_TTL,
             };
             let server: Rc<str> = notice.server.as_str().into();
-            view.adapter_locations.notice(&key, &server, presence, now + holds);
+            view.adapter_locations.notice(&key, &server, presence, now + ttl);
         }
         drop(view);
         self.handler.view_changed.notify_waiters();
     }
 
-    /// Tells the daemons that order servers what is wished for, for ever.
+    /// Runs for ever, and sends load requests to the daemons that hold the claims on the servers.
     pub async fn run_load_request_reports(self: Rc<Self>) {
         loop {
             self.handler.demand.load_requested().await;
             let now = self.now();
-            let wishes = self.handler.demand.take_load_requests().into_iter().map(|wish| {
-                let told = AdapterLoadRequest {
-                    server: wish.server.to_string(),
-                    model: wish.key.model.to_string(),
-                    adapter: wish.key.adapter.to_string(),
-                    version: wish.version,
-                    requests: wish.requests,
+            let requests = self.handler.demand.take_load_requests().into_iter().map(|request| {
+                let message = AdapterLoadRequest {
+                    server: request.server.to_string(),
+                    model: request.key.model.to_string(),
+                    adapter: request.key.adapter.to_string(),
+                    version: request.version,
+                    requests: request.requests,
                 };
-                (wish.server, told)
+                (request.server, message)
             });
-            for (address, wishes) in self.by_orderer(now, wishes) {
+            for (address, requests) in self.by_claim_holder(now, requests) {
                 match address {
-                    None => self.on_wishes(&wishes, None),
-                    Some(address) => self.tell_chunks(&wishes, address, PeerMessage::Wishes),
+                    None => self.on_load_requests(&requests, None),
+                    Some(address) => self.send_chunks(&requests, address, PeerMessage::Wishes),
                 }
             }
         }
     }
 
-    /// Tells them what is used, for ever.
+    /// Runs for ever, and sends them usage reports.
     pub async fn run_use_reports(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(USES_TOLD).await;
-            self.send_uses(self.handler.demand.take_usage());
+            actix_rt::time::sleep(USAGE_REPORT_INTERVAL).await;
+            self.send_usage(self.handler.demand.take_usage());
             self.handler.demand.sweep(self.now());
         }
     }
 
-    /// Tells them at once what begins and ceases to be used, for ever.
+    /// Runs for ever, and reports at once when an adapter starts or ceases to be used.
     pub async fn run_use_change_reports(self: Rc<Self>) {
         loop {
             self.handler.demand.usage_changed().await;
-            self.send_uses(self.handler.demand.take_changed());
+            self.send_usage(self.handler.demand.take_changed());
         }
     }
 
-    fn send_uses(&self, uses: Vec<UsageReport>) {
+    fn send_usage(&self, usage: Vec<UsageReport>) {
         let now = self.now();
-        let uses = uses.into_iter().map(|used| {
-            let told = AdapterUsage {
+        let usage = usage.into_iter().map(|used| {
+            let message = AdapterUsage {
                 server: server_hash(&used.server),
                 model: used.key.model.to_string(),
                 adapter: used.key.adapter.to_string(),
                 times: used.times,
                 running: used.running,
             };
-            (used.server, told)
+            (used.server, message)
         });
-        for (address, uses) in self.by_orderer(now, uses) {
+        for (address, usage) in self.by_claim_holder(now, usage) {
             match address {
-                None => self.on_uses(&uses, self.settings.members),
-                Some(address) => self.tell_chunks(&uses, address, PeerMessage::Uses),
+                None => self.on_usage(&usage, self.settings.members),
+                Some(address) => self.send_chunks(&usage, address, PeerMessage::Uses),
             }
         }
     }
 
-    /// What concerns servers, by the daemon that may order each: `None` for this one. What nobody
-    /// may order is left out.
-    fn by_orderer<T>(
+    /// Groups items by the daemon that holds the claim on their server; `None` stands for this
+    /// daemon. Items whose server is unclaimed are dropped.
+    fn by_claim_holder<T>(
         &self,
         now: Time,
         items: impl Iterator<Item = (Rc<str>, T)>,
     ) -> HashMap<Option<SocketAddr>, Vec<T>> {
         let mut by_address: HashMap<Option<SocketAddr>, Vec<T>> = HashMap::new();
         for (server, item) in items {
-            if let Some(address) = self.orderer(now, &server) {
+            if let Some(address) = self.claim_holder(now, &server) {
                 by_address.entry(address).or_default().push(item);
             }
         }
         by_address
     }
 
-    fn tell_chunks<T: Clone>(
+    fn send_chunks<T: Clone>(
         &self,
         items: &[T],
         to: SocketAddr,
@@ -280,15 +286,15 @@
         }
     }
 
-    /// Where the daemon that may order a server is: `Some(None)` for this one.
-    fn orderer(&self, now: Time, server: &str) -> Option<Option<SocketAddr>> {
+    /// Address of the daemon that holds the claim on a server; `Some(None)` stands for this daemon.
+    fn claim_holder(&self, now: Time, server: &str) -> Option<Option<SocketAddr>> {
         if self.order_executor.claims.borrow().may_order(now, server).is_some() {
             return Some(None);
         }
         self.claim_holders.address(now, server).map(Some)
     }
 
-    fn tell_notices(&self, notices: &[PlacementNotice], addresses: &[SocketAddr]) {
+    fn send_notices(&self, notices: &[PlacementNotice], addresses: &[SocketAddr]) {
         for chunk in notices.chunks(NOTICE_CHUNK) {
             let message = PeerMessage::Placement(chunk.to_vec());
             for address in addresses {
@@ -306,7 +312,7 @@
         self.on_notices(&notices);
         self.feed.push(&notices);
         let addresses = self.peers.borrow().notice_targets(self.now());
-        self.tell_notices(&notices, &addresses);
+        self.send_notices(&notices, &addresses);
     }
 
     fn newer_incarnation(self: &Rc<Self>, server: &Rc<str>, born: u64) {
--- a/crates/portrack/src/gateway/fleet/heartbeats.rs
+++ b/crates/portrack/src/gateway/fleet/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Heartbeats: who is there, what it knows, which data halls are heard.
+//! Heartbeats: which daemons are up, what they know, and which data halls are silent.
 
 use super::daemons::{DaemonInfo, Daemons};
 use super::message::{Capabilities, Heartbeat, PeerMessage};
-use super::peers::{BEAT, PeerChange};
+use super::peers::{HEARTBEAT_INTERVAL, PeerChange};
 use crate::gateway::daemon::GatewayDaemon;
 use crate::gateway::regions::silence::log_silence_changes;
 use crate::gateway::selection::load::server_hash;
@@ -11,23 +11,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between log lines of how many peers are up.
-const PEERS_LOGGED: Duration = Duration::from_secs(2);
+/// Interval at which the number of live peers is logged.
+const PEER_COUNT_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A hall of which a server answered within this is not cut off: as long as its daemons are silent
-/// before they are missed.
-const HALL_ANSWERS: Duration = Duration::from_millis(900);
-/// A daemon that has heard no other one for so long is cut off, or was paused: three turns of the
-/// heartbeats of any peer.
-const CUT_OFF: Duration = Duration::from_millis(900);
+/// A hall counts as reachable if one of its servers responded within this time, the same time after
+/// which a silent daemon is missed.
+const HALL_RESPONSE_WINDOW: Duration = Duration::from_millis(900);
+/// A daemon that has received nothing from others for this long was cut off or paused: three rounds
+/// of any peer's heartbeats.
+const CUT_OFF_AFTER: Duration = Duration::from_millis(900);
 
 impl GatewayDaemon {
-    /// Sends heartbeats, for ever.
+    /// Runs for ever, and sends heartbeats.
     pub async fn send_heartbeats(self: Rc<Self>) {
         let mut before = self.now();
         loop {
             self.beat();
-            actix_rt::time::sleep(BEAT).await;
+            actix_rt::time::sleep(HEARTBEAT_INTERVAL).await;
             let now = self.now();
             let silent = self.peers.borrow_mut().sweep(now, before);
             self.log_silent(&silent);
@@ -35,8 +35,9 @@
         }
     }
 
-    /// A line for each peer that comes or falls silent is written in small fleets only: a start of
-    /// 195 nodes wrote 37,661 of them. In larger ones the number of peers is logged as it changes.
+    /// Returns true if each peer that comes up or goes silent is logged. That is limited to small
+    /// fleets: starting 195 nodes wrote 37,661 such lines. Larger fleets log the number of peers
+    /// when it changes.
     fn logs_each_peer(&self) -> bool {
         self.peers.borrow().is_full_mesh()
     }
@@ -49,11 +50,11 @@
         }
     }
 
-    /// Logs how many peers are up, if that has changed, for ever.
+    /// Runs for ever, and logs the number of live peers when it changes.
     pub async fn log_peers(self: Rc<Self>) {
         let mut logged = 0;
         loop {
-            actix_rt::time::sleep(PEERS_LOGGED).await;
+            actix_rt::time::sleep(PEER_COUNT_LOG_INTERVAL).await;
             let up = self.peers.borrow().up(self.now()).count();
             if up != logged && !self.logs_each_peer() {
                 log::info!(up = up, before = logged; "peers");
@@ -62,39 +63,43 @@
         }
     }
 
-    /// Sends one heartbeat to the peers whose turn it is.
+    /// Sends a heartbeat to the next peers in turn.
     pub fn beat(&self) {
         let now = self.now();
         self.refresh_topology();
         let heartbeat = self.heartbeat();
         let targets = self.peers.borrow_mut().targets(now);
-        // To other regions requests at servers would come too seldom to count; orderers tell loads there.
-        let spares_far = self.peers.borrow().spares_far();
-        let (far, near): (Vec<SocketAddr>, Vec<SocketAddr>) = targets
+        // Heartbeats to other regions omit the outstanding work: they are too rare for it to be
+        // useful, and the claim holders send loads there.
+        let limits_remote_heartbeats = self.peers.borrow().limits_remote_heartbeats();
+        let (remote, local): (Vec<SocketAddr>, Vec<SocketAddr>) =
+            targets.into_iter().partition(|target| {
+                limits_remote_heartbeats && self.handler.traffic.is_remote(*target)
+            });
+        let without_work = Heartbeat { work: Vec::new(), ..heartbeat.clone() };
+        local.into_iter().for_each(|to| self.send(&PeerMessage::Heartbeat(heartbeat.clone()), to));
+        remote
             .into_iter()
-            .partition(|target| spares_far && self.handler.traffic.is_remote(*target));
-        let brief = Heartbeat { work: Vec::new(), ..heartbeat.clone() };
-        near.into_iter().for_each(|to| self.send(&PeerMessage::Heartbeat(heartbeat.clone()), to));
-        far.into_iter().for_each(|to| self.send(&PeerMessage::Heartbeat(brief.clone()), to));
+            .for_each(|to| self.send(&PeerMessage::Heartbeat(without_work.clone()), to));
         let up = self.peers.borrow().up(now).count();
         self.handler.daemon_count.set(up + 1);
         let loads_are_delayed = !self.peers.borrow().is_full_mesh();
         self.handler.loads_are_delayed.set(loads_are_delayed);
         self.handler.grants.loads_are_delayed.set(loads_are_delayed);
         self.handler.grants.update_daemons(self.peers.borrow().all());
-        self.look_at_halls(now);
+        self.check_halls(now);
         self.order_executor.planner.borrow_mut().set_daemon_count(up + 1);
         self.metrics.peers_up.set(up as i64);
-        let daemons = self.daemons_that_stay(now);
+        let daemons = self.eligible_daemons_at(now);
         self.handler.traffic.set_daemons(&daemons);
         self.handler.eligible_daemons.replace(daemons);
     }
 
-    /// The daemons that may do duties for others.
-    fn daemons_that_stay(&self, now: Time) -> Daemons {
+    /// The daemons that may do tasks for others.
+    fn eligible_daemons_at(&self, now: Time) -> Daemons {
         let peers = self.peers.borrow();
-        let staying = peers.up(now).filter(|(_, peer)| !peer.heartbeat.leaving);
-        let others = staying.map(|(_, peer)| DaemonInfo {
+        let active = peers.up(now).filter(|(_, peer)| !peer.heartbeat.leaving);
+        let others = active.map(|(_, peer)| DaemonInfo {
             address: peer.heartbeat.address,
             hall: peer.heartbeat.hall.as_str().into(),
             capacity: peer.heartbeat.capacity,
@@ -103,9 +108,9 @@
         Daemons::eligible(self.settings.as_daemon(), self.stopping(), others.collect())
     }
 
-    fn look_at_halls(&self, now: Time) {
+    fn check_halls(&self, now: Time) {
         let mut silent = self.peers.borrow().silent_halls(now, &self.settings.hall);
-        silent.retain(|hall| !self.hears_servers_of(now, hall));
+        silent.retain(|hall| !self.has_responding_server(now, hall));
         let before = self.handler.loads.silent_halls();
         if silent != before {
             log::warn!(halls:? = silent, before:? = before; "silent_halls");
@@ -114,17 +119,18 @@
         }
     }
 
-    /// True if a server of a hall said something a moment ago: the hall is not cut off, although its
-    /// daemons, all killed or stopped at once, are silent. Without it servers that live got no
-    /// requests for 3 to 25 s.
-    fn hears_servers_of(&self, now: Time, hall: &str) -> bool {
+    /// Returns true if a server of a hall responded recently. The hall is then reachable although
+    /// its daemons, which may all have been killed or stopped at once, are silent. Without this
+    /// check live servers got no requests for 3 to 25 s.
+    fn has_responding_server(&self, now: Time, hall: &str) -> bool {
         let view = self.handler.view.borrow();
         let mut servers = view.backends().filter(|backend| &*backend.hall == hall);
-        servers
-            .any(|backend| self.handler.loads.has_answered_within(now, &backend.id, HALL_ANSWERS))
+        servers.any(|backend| {
+            self.handler.loads.has_answered_within(now, &backend.id, HALL_RESPONSE_WINDOW)
+        })
     }
 
-    /// What this daemon tells of itself.
+    /// Builds this daemon's heartbeat.
     pub(in crate::gateway) fn heartbeat(&self) -> Heartbeat {
         let now = self.now();
         Heartbeat {
@@ -136,7 +142,7 @@
             leaving: self.stopping(),
             sees_store: self.sees_store(),
             watches: self.watches.get(),
-            orders: self.orderable_marks(now),
+            orders: self.orderable_server_hashes(now),
             work: self.handler.loads.own_work(),
             known: self.peers.borrow().known(now),
             capacity: self.settings.limits.capacity(),
@@ -147,7 +153,7 @@
         }
     }
 
-    fn orderable_marks(&self, now: Time) -> Vec<u32> {
+    fn orderable_server_hashes(&self, now: Time) -> Vec<u32> {
         let orderable = self.order_executor.claims.borrow().orderable(now);
         self.metrics.servers_ordered.set(orderable.len() as i64);
         orderable.iter().map(|id| server_hash(id)).collect()
@@ -161,18 +167,18 @@
             return;
         }
         self.handler.loads.set_peer_work(now, &node, heartbeat.work.clone());
-        self.look_for_reconnection(now);
-        if let Some((own, of_others)) = heartbeat.news.split_first() {
-            self.course.borrow_mut().heard(now, own, of_others);
+        self.detect_reconnection(now);
+        if let Some((own, others)) = heartbeat.news.split_first() {
+            self.course.borrow_mut().heard(now, own, others);
         }
         self.eras.borrow_mut().hear(now, &heartbeat.store);
-        let (heard, address) = (heartbeat.heard.into(), heartbeat.address);
+        let (known, address) = (heartbeat.heard.into(), heartbeat.address);
         let change = self.peers.borrow_mut().on_heartbeat(now, heartbeat);
         if matches!(change, Some(PeerChange::Up | PeerChange::Leaving)) {
-            // One that has just started is to follow as soon as it hears of others.
+            // A daemon that has just started should follow a peer as soon as it knows of one.
             self.refresh_topology();
         }
-        self.introduce_to(now, address, heard);
+        self.send_known_peers(now, address, known);
         if change == Some(PeerChange::Up) {
             self.handler.quarantine.send_snapshot(address);
             self.handler.backpressure.send_snapshot(address);
@@ -188,19 +194,19 @@
         }
     }
 
-    /// Others know this daemon by a later life than it tells of: its node's clock has gone back since. They would
-    /// believe nothing that it says.
-    pub(in crate::gateway) fn raise_above(&self, former: u64) {
+    /// Handles the notice that others know a later incarnation of this daemon, because the node's
+    /// clock went back. They would ignore everything that it sends.
+    pub(in crate::gateway) fn raise_above(&self, known: u64) {
         let before = self.incarnation.number();
-        if self.incarnation.raise_above(former) {
+        if self.incarnation.raise_above(known) {
             log::warn!(before, incarnation = self.incarnation.number(); "incarnation_raised");
             self.beat();
         }
     }
 
-    /// A daemon that hears others again after a silence was cut off or paused: calls that hang are
-    /// made anew, and what could not be reached is tried again.
-    fn look_for_reconnection(&self, now: Time) {
+    /// Detects that this daemon was cut off or paused and receives heartbeats again. Hanging calls
+    /// are then repeated, and what was unreachable is tried again.
+    fn detect_reconnection(&self, now: Time) {
         if let Some(silent) = self.cut_off_for(now) {
             log::info!(silent_ms = silent.as_millis() as u64; "reconnected");
             self.course.borrow_mut().reconnected();
@@ -208,20 +214,21 @@
         }
     }
 
-    /// True if no other daemon is heard any more: this one is cut off.
+    /// Returns true if this daemon is cut off, that is if it receives nothing from any other
+    /// daemon.
     pub(in crate::gateway) fn is_cut_off(&self) -> bool {
         self.cut_off_for(self.now()).is_some()
     }
 
     fn cut_off_for(&self, now: Time) -> Option<Duration> {
         let silent = self.peers.borrow().silent_for(now);
-        silent.filter(|silent| *silent >= CUT_OFF)
+        silent.filter(|silent| *silent >= CUT_OFF_AFTER)
     }
 
-    /// Answers a daemon that has heard far fewer others than this one with a heartbeat and with some
-    /// it may not know. Without it a node of 195 that started together knew 20 others after 3 s.
-    fn introduce_to(&self, now: Time, address: SocketAddr, heard: usize) {
-        let some = self.peers.borrow_mut().addresses_for_new_peer(now, heard);
+    /// Replies to a daemon that knows far fewer peers than this one with a heartbeat and a list of
+    /// addresses. Without it each of 195 nodes that started together knew 20 others after 3 s.
+    fn send_known_peers(&self, now: Time, address: SocketAddr, known: usize) {
+        let some = self.peers.borrow_mut().addresses_for_new_peer(now, known);
         if some.is_empty() {
             return;
         }
--- a/crates/portrack/src/gateway/fleet/message.rs
+++ b/crates/portrack/src/gateway/fleet/message.rs
@@ -1,4 +1,4 @@
-//! What daemons of a gateway fleet tell each other by datagram.
+//! Datagrams between the daemons of a gateway fleet.
 
 use super::trailing_field::or_default;
 use crate::gateway::admission::QuotaMessage;
@@ -12,44 +12,45 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of the messages; others are dropped.
+/// Version of the datagram format; datagrams of other versions are dropped.
 pub const MESSAGE_VERSION: u8 = 5;
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM: usize = 1_400;
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who is there and what it knows.
+    /// The sender's state and what it knows.
     Heartbeat(Heartbeat),
-    /// Adapters wished for at servers that the receiver orders.
+    /// Requests to load adapters at servers whose claims the receiver holds.
     Wishes(Vec<AdapterLoadRequest>),
-    /// How often adapters were used at servers that the receiver orders.
+    /// Adapter usage at servers whose claims the receiver holds.
     Uses(Vec<AdapterUsage>),
-    /// What the sender has changed at servers that it orders.
+    /// Changes that the sender has made at servers whose claims it holds.
     Placement(Vec<PlacementNotice>),
-    /// What servers that the sender orders report of their load.
+    /// Loads reported by servers whose claims the sender holds.
     Loads(Vec<ServerLoad>),
-    /// Daemons that the receiver, which knows few, may not have heard of.
+    /// Addresses of daemons, for a receiver that knows only a few.
     Known(Vec<SocketAddr>),
-    /// What is counted of organisations' quotas.
+    /// Counts for organisations' quotas.
     Quota(QuotaMessage),
-    /// Slots of the servers of small services.
+    /// Slots at the servers of small services.
     Slots(SlotMessage),
-    /// Arrivals at a server.
+    /// Grants of arrivals at a server.
     Grants(GrantMessage),
-    /// Requests that servers ended under.
+    /// Requests that were running when their server ended.
     Quarantine(QuarantineMessage),
-    /// Limits that servers name.
+    /// Limits that servers advertise.
     Limits(Vec<LimitReport>),
-    /// Servers that leave, by the marks of their lives.
+    /// Incarnation hashes of servers that are leaving.
     Leaving(Vec<u32>),
-    /// The sender knows the receiver by a later life than the one that the receiver tells of.
+    /// The sender knows a later incarnation of the receiver than the receiver reports; this is its
+    /// number.
     KnownAs(u64),
 }
 
 impl PeerMessage {
-    /// The kind of message, for metrics.
+    /// Kind of message, for metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) => "heartbeats",
@@ -69,62 +70,63 @@
     }
 }
 
-/// A sign of life.
+/// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub node: String,
-    /// Its data hall.
+    /// Data hall of the sender.
     pub hall: String,
-    /// Where it hears datagrams.
+    /// The address it receives datagrams on.
     pub address: SocketAddr,
-    /// Differs with every start, and rises.
+    /// Incarnation number, which increases with every start.
     pub incarnation: u64,
-    /// The store's revision up to which it knows everything.
+    /// Store revision up to which the sender knows all changes.
     pub revision: u64,
-    /// It is being stopped.
+    /// The sender is stopping.
     pub leaving: bool,
-    /// It can reach the store.
+    /// The sender can reach the store.
     pub sees_store: bool,
-    /// It watches the store itself; others may follow it.
+    /// The sender watches the store itself, so others may follow it.
     pub watches: bool,
-    /// The servers that it may order now, by their marks.
+    /// Id hashes of the servers that the sender may send orders to at present.
     pub orders: Vec<u32>,
-    /// Its requests at servers, by the marks of their lives.
+    /// The sender's outstanding work at servers, by incarnation hash.
     pub work: Vec<(u32, OutstandingWork)>,
-    /// Some daemons it knows.
+    /// Addresses of some daemons that the sender knows.
     pub known: Vec<SocketAddr>,
-    /// How many daemons it has heard.
+    /// Number of daemons that the sender receives heartbeats from.
     pub heard: u16,
-    /// How much work for others its node is suited to, compared with others.
+    /// Capacity of its node for work on behalf of others, relative to other nodes.
     pub capacity: u32,
-    /// How fresh its news of the store is, and then that of some others that watch.
+    /// Staleness of the sender's copy of the store, followed by that of some other daemons that
+    /// watch it.
     pub news: Vec<SyncReport>,
-    /// What it does for others beyond what every build does.
+    /// Optional features that the sender's build supports.
     #[serde(deserialize_with = "or_default")]
     pub capabilities: Capabilities,
-    /// Which era of the store it is in.
+    /// The era of the store that the sender is in.
     #[serde(deserialize_with = "or_default")]
     pub store: EraReport,
 }
 
-/// What a build does for others that former ones do not: each capability is a bit.
+/// Bit set of features that earlier builds lack.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capabilities(u32);
 
 impl Capabilities {
-    /// What this build does.
-    pub const OWN: Self = Self(Self::KEEPS_LIMITS);
-    /// Grants no more arrivals at a server than the limit that it names.
-    const KEEPS_LIMITS: u32 = 1;
+    /// The features of this build.
+    pub const OWN: Self = Self(Self::ENFORCES_LIMITS);
+    /// The build grants no more arrivals at a server than the advertised limit allows.
+    const ENFORCES_LIMITS: u32 = 1;
 
-    /// True if the limits that servers name are kept.
+    /// Returns true if the build enforces the limits that servers advertise.
     pub fn enforces_limits(self) -> bool {
-        self.0 & Self::KEEPS_LIMITS != 0
+        self.0 & Self::ENFORCES_LIMITS != 0
     }
 }
 
-/// An adapter wished for at a server.
+/// A request to load an adapter at a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AdapterLoadRequest {
     /// The server.
@@ -133,16 +135,16 @@
     pub model: String,
     /// The adapter.
     pub adapter: String,
-    /// The oldest version that will do.
+    /// The oldest acceptable version.
     pub version: u64,
-    /// Requests that missed it since the last wish.
+    /// Requests that missed the adapter since the last load request.
     pub requests: u16,
 }
 
-/// How often an adapter was used at a server.
+/// Usage of an adapter at a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AdapterUsage {
-    /// The server, by its mark.
+    /// Id hash of the server.
     pub server: u32,
     /// The base model.
     pub model: String,
@@ -150,20 +152,20 @@
     pub adapter: String,
     /// Requests since the last report.
     pub times: u16,
-    /// A request of the sender runs there now.
+    /// The sender has a request running there.
     pub running: bool,
 }
 
-/// How busy a server says it is.
+/// Load that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// The server, by the mark of its life.
+    /// Incarnation hash of the server.
     pub server: u32,
-    /// Requests that run there or wait to run.
+    /// Requests that run or wait there.
     pub requests: u16,
 }
 
-/// A change at a server.
+/// Notice of a change at a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacementNotice {
     /// The server.
@@ -172,35 +174,35 @@
     pub model: String,
     /// The adapter.
     pub adapter: String,
-    /// What holds now.
+    /// The new state.
     pub state: NoticeState,
-    /// The life of the server that it holds for, by its start; see [`Backend::born`].
+    /// Start time of the server's incarnation that the notice is about; see [`Backend::born`].
     ///
     /// [`Backend::born`]: super::backend::Backend::born
     pub born: Option<u64>,
 }
 
-/// What holds of an adapter at a server.
+/// State of an adapter at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoticeState {
-    /// It can be used, at this version.
+    /// Ready for use, at this version.
     Held(u64),
-    /// This version is expected in so many milliseconds.
+    /// This version is expected to be ready in this many milliseconds.
     Coming(u64, u32),
-    /// It is gone or about to go.
+    /// Removed, or about to be.
     Absent,
     /// It could not be loaded there.
     Refused,
 }
 
-/// A datagram as bytes; `None` if it is too long.
+/// Encodes a datagram; `None` if it would be too long.
 pub fn encode(message: &PeerMessage) -> Option<Vec<u8>> {
     let mut bytes = vec![MESSAGE_VERSION];
     bytes.extend(postcard::to_allocvec(message).ok()?);
     (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
 }
 
-/// Reads a datagram; `None` for bytes that are no message of this version.
+/// Decodes a datagram; `None` if the bytes are not a message of this version.
 pub fn decode(bytes: &[u8]) -> Option<PeerMessage> {
     let (version, body) = bytes.split_first()?;
     if *version != MESSAGE_VERSION || bytes.len() > MAX_DATAGRAM {
--- a/crates/portrack/src/gateway/fleet/messenger.rs
+++ b/crates/portrack/src/gateway/fleet/messenger.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// A socket whose bytes are counted.
+/// A datagram socket that counts the bytes it sends.
 pub struct Messenger {
     socket: UdpSocket,
     sent_bytes: IntCounter,
@@ -15,12 +15,13 @@
 }
 
 impl Messenger {
-    /// Sends by a socket and counts in `sent_bytes`, and in `traffic` what goes to other regions.
+    /// Sends through `socket`, counts the bytes in `sent_bytes`, and counts bytes to other regions
+    /// in `traffic`.
     pub fn new(socket: UdpSocket, sent_bytes: IntCounter, traffic: Rc<RegionTraffic>) -> Self {
         Self { socket, sent_bytes, traffic }
     }
 
-    /// Sends one datagram; a full socket buffer loses it.
+    /// Sends a datagram. It is lost if the socket buffer is full.
     pub fn send(&self, message: &PeerMessage, to: SocketAddr) {
         let Some(bytes) = encode(message) else {
             log::error!(to:% = to; "datagram_too_long");
@@ -31,7 +32,7 @@
         self.traffic.count_daemon_bytes(message.kind(), to, bytes.len());
     }
 
-    /// Waits for a datagram, and tells its length and sender.
+    /// Waits for a datagram, and returns its length and sender.
     pub async fn receive(&self, buffer: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
         self.socket.recv_from(buffer).await
     }
--- a/crates/portrack/src/gateway/fleet/mod.rs
+++ b/crates/portrack/src/gateway/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! What is known of the fleet: other daemons, backend servers, the configuration.
+//! The daemon's view of the fleet: other daemons, backend servers and the configuration.
 //!
-//! In come items of the store and datagrams of other daemons; out go the view of the fleet and messages.
-//! A configuration never goes back, a server that said it is leaving stays so for its life, and a former
-//! life of a server never comes back.
+//! It is built from items of the store and datagrams of other daemons, and produces messages to
+//! them. A configuration is never replaced by an older one, a server that reported that it is
+//! leaving stays so for its incarnation, and an earlier incarnation of a server never replaces a
+//! later one.
 
 pub(in crate::gateway) mod backend;
 pub(in crate::gateway) mod cold_start_tracker;
--- a/crates/portrack/src/gateway/fleet/peers.rs
+++ b/crates/portrack/src/gateway/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The other daemons: who is there, and whom to tell. A state machine without sockets.
+//! The known peers, and which of them to send to. A state machine without sockets.
 
 use super::message::Heartbeat;
 use super::regions::Regions;
@@ -12,131 +12,131 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between heartbeats.
-pub const BEAT: Duration = Duration::from_millis(300);
-/// Turns of heartbeats that may be lost before what a daemon said of its orders is not believed.
-const TURNS_FRESH: u32 = 3;
-/// Turns of heartbeats that may be lost before a daemon counts as gone.
-const TURNS_GONE: u32 = 5;
-/// A daemon not heard for this long counts as gone, in a fleet where all hear every heartbeat.
-const GONE_AFTER: Duration = Duration::from_millis(3_000);
-/// A daemon not heard for this long is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
-/// What a daemon said of its orders counts for this long, in such a fleet.
-const ORDERS_FRESH: Duration = Duration::from_millis(1_400);
-/// Daemons that one heartbeat goes to; in small fleets that is all of them.
+/// Heartbeat interval.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// Rounds of heartbeats that may be lost before the claims that a daemon reported are ignored.
+const CLAIM_TTL_ROUNDS: u32 = 3;
+/// Rounds of heartbeats that may be lost before a daemon counts as down.
+const DOWN_AFTER_ROUNDS: u32 = 5;
+/// Time without heartbeats after which a daemon counts as down, in a full mesh.
+const DOWN_AFTER: Duration = Duration::from_millis(3_000);
+/// Time without heartbeats after which a daemon is removed.
+const REMOVED_AFTER: Duration = Duration::from_secs(60);
+/// Time for which the claims that a daemon reported are trusted, in a full mesh.
+const CLAIM_TTL: Duration = Duration::from_millis(1_400);
+/// Number of daemons that receive each heartbeat; in small fleets that is all of them.
 const FAN_OUT: usize = 12;
-/// Of these, so many are of other regions where there are several: what daemons tell each other across
-/// is needed less often there, and paid for by volume.
-const FAN_OUT_FAR: usize = 3;
-/// Up to so many daemons all hear every notice.
-const NOTICE_ALL: usize = 24;
-/// Daemons of a hall that notices go to: the two that watch for it, and one that may just have
-/// taken over.
+/// How many of these are in other regions, if there are several: what daemons send each other
+/// across regions is needed less often there, and traffic is paid for by volume.
+const REMOTE_FAN_OUT: usize = 3;
+/// In fleets of up to this size all daemons receive every notice.
+const MAX_DAEMONS_FOR_ALL_NOTICES: usize = 24;
+/// Number of daemons per hall that receive notices: the two that watch the store for the hall, and
+/// one that may just have taken over.
 const NOTICE_WATCHERS: usize = 3;
-/// Seeds that were never heard are asked again each so many heartbeats.
-const SEEDS_EVERY: usize = 8;
-/// Daemons only heard of that are kept.
-const MOST_HEARD_OF: usize = 512;
-/// Daemons only heard of that one heartbeat greets besides.
-const GREETED_AT_ONCE: usize = 16;
-/// Daemons that a newcomer is told of in one datagram.
-const TOLD_NEWCOMER: usize = 64;
-/// A daemon that has heard so many fewer others than this one, beyond half of them, is a newcomer.
-const FEWER: usize = 8;
-/// A data hall is silent if nothing was heard of it for so long at least: three heartbeats of each of
+/// Seeds that were never heard from get one in this many heartbeats.
+const SEED_INTERVAL: usize = 8;
+/// Maximum number of daemons that are known only by address.
+const MAX_CANDIDATES: usize = 512;
+/// Number of these daemons that a heartbeat is also sent to.
+const CANDIDATES_PER_HEARTBEAT: usize = 16;
+/// Addresses sent to a new peer in one datagram.
+const ADDRESSES_FOR_NEW_PEER: usize = 64;
+/// A peer is new if this daemon knows more than twice as many others, plus this number.
+const NEW_PEER_MARGIN: usize = 8;
+/// Minimum time without heartbeats after which a data hall is silent: three heartbeats of each of
 /// its daemons in a small fleet.
-const HALL_SILENT: Duration = Duration::from_millis(900);
-/// The same, in heartbeats that should have come from all its daemons together: of 39 daemons in a
-/// fleet of 195 one comes each 130 ms. With six, chance made eight nodes a second take a hall for
-/// silent.
-const HALL_BEATS_MISSED: u32 = 10;
-/// Daemons that must be known of a hall before its silence means anything.
-const HALL_KNOWN: usize = 2;
-/// Heartbeats that a daemon gets that was only heard of.
-const GREETINGS: u8 = 4;
-/// Addresses of others that a heartbeat carries.
-const KNOWN_CARRIED: usize = 8;
-
-/// One other daemon.
+const MIN_HALL_SILENCE: Duration = Duration::from_millis(900);
+/// The same as a number of heartbeats expected from all daemons of the hall together: 39 daemons in
+/// a fleet of 195 send one every 130 ms. With a threshold of six, eight nodes per second took a
+/// hall for silent by chance.
+const MISSED_HALL_HEARTBEATS: u32 = 10;
+/// Number of known daemons in a hall below which its silence is ignored.
+const MIN_KNOWN_IN_HALL: usize = 2;
+/// Heartbeats sent to a daemon that is known only by address.
+const CANDIDATE_ATTEMPTS: u8 = 4;
+/// Addresses of other daemons in each heartbeat.
+const ADDRESSES_PER_HEARTBEAT: usize = 8;
+
+/// Another daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Peer {
-    /// Its last sign of life.
+    /// Its latest heartbeat.
     pub heartbeat: Heartbeat,
-    /// When that came.
-    pub heard_at: Time,
-    /// The region of its data hall.
+    /// When that arrived.
+    pub received_at: Time,
+    /// Region of its data hall.
     region: Rc<str>,
 }
 
-/// Why a heartbeat changed something.
+/// Change caused by a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerChange {
-    /// A daemon came up, or back.
+    /// A daemon came up, or came back.
     Up,
-    /// It says that it is leaving.
+    /// It reports that it is leaving.
     Leaving,
-    /// It is of a life before the one that is known, which has this number.
+    /// The heartbeat is of an earlier incarnation than the known one, which has this number.
     StaleIncarnation(u64),
 }
 
-/// A daemon that others know; datagrams to it may be lost.
+/// A daemon that is known only by address; datagrams to it may be lost.
 #[derive(Debug, Clone, Copy)]
-struct HeardOf {
+struct Candidate {
     address: SocketAddr,
-    greetings_left: u8,
+    attempts_left: u8,
 }
 
-/// The daemons known.
+/// The known daemons.
 #[derive(Debug, Clone)]
 pub struct Peers {
     me: SocketAddr,
     my_capacity: u32,
     seeds: Vec<SocketAddr>,
-    heard_of: Vec<HeardOf>,
+    candidates: Vec<Candidate>,
     peers: BTreeMap<Rc<str>, Peer>,
-    /// When any other daemon was heard last.
-    heard_at: Option<Time>,
+    /// When the last heartbeat of any daemon arrived.
+    received_at: Option<Time>,
     turn: usize,
-    /// Moves on through the daemons of other regions.
-    far_turn: usize,
+    /// Round-robin position in the daemons of other regions.
+    remote_turn: usize,
     regions: Regions,
-    /// How many daemons are known of each region.
-    of_region: BTreeMap<Rc<str>, usize>,
-    /// Heartbeats sent so far.
-    beats: usize,
-    /// Moves on through the daemons that newcomers are told of.
-    newcomer_turn: usize,
+    /// Number of known daemons per region.
+    region_counts: BTreeMap<Rc<str>, usize>,
+    /// Number of heartbeats sent.
+    heartbeats_sent: usize,
+    /// Round-robin position in the addresses that are sent to new peers.
+    new_peer_turn: usize,
 }
 
 impl Peers {
-    /// Knows only where to ask first.
+    /// Starts with the seed addresses only.
     pub fn new(me: SocketAddr, my_capacity: u32, seeds: Vec<SocketAddr>) -> Self {
-        // Daemons that all began their rounds with the same one would reach it together, and leave it
-        // without news for the rest of the round.
+        // If all daemons started their rounds with the same peer, that peer would receive their
+        // heartbeats together and none for the rest of the round.
         let turn = server_hash(&me.to_string()) as usize;
         Self {
             me,
             my_capacity,
             seeds,
-            heard_of: Vec::new(),
+            candidates: Vec::new(),
             peers: BTreeMap::new(),
-            heard_at: None,
+            received_at: None,
             turn,
-            far_turn: turn,
+            remote_turn: turn,
             regions: Regions::default(),
-            of_region: BTreeMap::new(),
-            beats: 0,
-            newcomer_turn: 0,
+            region_counts: BTreeMap::new(),
+            heartbeats_sent: 0,
+            new_peer_turn: 0,
         }
     }
 
-    /// Knows which data halls lie in which region, seen from this daemon.
+    /// Sets the regions of the data halls.
     pub fn with_regions(self, regions: Regions) -> Self {
         Self { regions, ..self }
     }
 
-    /// The region that a hall counts to; one for all halls where there are not several.
+    /// Region of a hall. All halls share one region if there are not several.
     fn region(&self, hall: &str) -> Rc<str> {
         match self.regions.is_multi_region() {
             true => self.regions.responsible_region(hall).clone(),
@@ -144,65 +144,67 @@
         }
     }
 
-    /// How many daemons are known of a region.
-    fn known_of(&self, region: &str) -> usize {
-        self.of_region.get(region).copied().unwrap_or(0)
+    /// Number of known daemons in a region.
+    fn known_in_region(&self, region: &str) -> usize {
+        self.region_counts.get(region).copied().unwrap_or(0)
     }
 
     fn count_regions(&mut self) {
-        self.of_region.clear();
+        self.region_counts.clear();
         for peer in self.peers.values() {
-            *self.of_region.entry(peer.region.clone()).or_default() += 1;
+            *self.region_counts.entry(peer.region.clone()).or_default() += 1;
         }
     }
 
-    /// True if heartbeats go to daemons of other regions less often.
-    pub fn spares_far(&self) -> bool {
-        let own = self.known_of(self.regions.own());
+    /// Returns true if heartbeats go to daemons of other regions less often.
+    pub fn limits_remote_heartbeats(&self) -> bool {
+        let own = self.known_in_region(self.regions.own());
         self.peers.len() > FAN_OUT && own < self.peers.len()
     }
 
-    /// How long each daemon of a region takes until its heartbeats have reached all others once, those
-    /// of this daemon's region among them.
-    fn round(&self, region: &str) -> Duration {
+    /// Time in which the heartbeats of each daemon of a region reach all others once, including
+    /// those of this daemon's region.
+    fn round_duration(&self, region: &str) -> Duration {
         let own = *region == **self.regions.own();
-        let turns = match (self.spares_far(), own) {
+        let heartbeats = match (self.limits_remote_heartbeats(), own) {
             (false, _) => self.peers.len().div_ceil(FAN_OUT),
-            (true, true) => self.known_of(region).div_ceil(FAN_OUT - FAN_OUT_FAR),
-            (true, false) => (self.peers.len() + 1 - self.known_of(region)).div_ceil(FAN_OUT_FAR),
+            (true, true) => self.known_in_region(region).div_ceil(FAN_OUT - REMOTE_FAN_OUT),
+            (true, false) => {
+                (self.peers.len() + 1 - self.known_in_region(region)).div_ceil(REMOTE_FAN_OUT)
+            }
         };
-        BEAT * u32::try_from(turns.max(1)).unwrap_or(u32::MAX)
+        HEARTBEAT_INTERVAL * u32::try_from(heartbeats.max(1)).unwrap_or(u32::MAX)
     }
 
-    fn orders_fresh(&self, peer: &Peer) -> Duration {
-        ORDERS_FRESH.max(self.round(&peer.region) * TURNS_FRESH)
+    fn claim_ttl(&self, peer: &Peer) -> Duration {
+        CLAIM_TTL.max(self.round_duration(&peer.region) * CLAIM_TTL_ROUNDS)
     }
 
-    fn gone_after(&self, peer: &Peer) -> Duration {
-        GONE_AFTER.max(self.round(&peer.region) * TURNS_GONE)
+    fn down_after(&self, peer: &Peer) -> Duration {
+        DOWN_AFTER.max(self.round_duration(&peer.region) * DOWN_AFTER_ROUNDS)
     }
 
     fn is_up(&self, now: Time, peer: &Peer) -> bool {
-        now.since(peer.heard_at) < self.gone_after(peer)
+        now.since(peer.received_at) < self.down_after(peer)
     }
 
-    /// Takes a heartbeat in.
+    /// Applies a heartbeat.
     pub fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> Option<PeerChange> {
         if heartbeat.address == self.me {
             return None;
         }
-        self.heard_at = Some(now);
+        self.received_at = Some(now);
         for address in &heartbeat.known {
             self.add_candidate(*address);
         }
-        self.heard_of.retain(|other| other.address != heartbeat.address);
+        self.candidates.retain(|other| other.address != heartbeat.address);
         let name: Rc<str> = heartbeat.node.as_str().into();
         let before = self.peers.get(&name);
         let known = before.map_or(0, |peer| peer.heartbeat.incarnation);
         if known > heartbeat.incarnation {
             return Some(PeerChange::StaleIncarnation(known));
         }
-        // One that has started again knows nothing of what it was told, however soon it is heard.
+        // A restarted daemon has lost what it was sent, even if it was never missed.
         let was_up = before.is_some_and(|peer| {
             self.is_up(now, peer) && peer.heartbeat.incarnation == heartbeat.incarnation
         });
@@ -210,7 +212,7 @@
         let leaving = heartbeat.leaving;
         let region = self.region(&heartbeat.hall);
         let moved = before.is_none_or(|peer| peer.region != region);
-        self.peers.insert(name, Peer { heartbeat, heard_at: now, region });
+        self.peers.insert(name, Peer { heartbeat, received_at: now, region });
         if moved {
             self.count_regions();
         }
@@ -221,158 +223,171 @@
         }
     }
 
-    /// Takes note of a daemon that was only heard of.
+    /// Adds the address of a daemon that was learned from others.
     pub fn add_candidate(&mut self, address: SocketAddr) {
         let known = address == self.me
-            || self.heard_of.iter().any(|other| other.address == address)
+            || self.candidates.iter().any(|other| other.address == address)
             || self.peers.values().any(|peer| peer.heartbeat.address == address);
-        if !known && self.heard_of.len() < MOST_HEARD_OF {
-            self.heard_of.push(HeardOf { address, greetings_left: GREETINGS });
+        if !known && self.candidates.len() < MAX_CANDIDATES {
+            self.candidates.push(Candidate { address, attempts_left: CANDIDATE_ATTEMPTS });
         }
     }
 
-    /// Forgets daemons not heard for long. Returns those that have just gone silent.
+    /// Removes daemons that have been silent for long. Returns those that have just gone silent.
     pub fn sweep(&mut self, now: Time, since: Time) -> Vec<Rc<str>> {
         let silent = self.peers.iter().filter(|(_, peer)| {
-            !self.is_up(now, peer) && since.since(peer.heard_at) < self.gone_after(peer)
+            !self.is_up(now, peer) && since.since(peer.received_at) < self.down_after(peer)
         });
         let silent: Vec<Rc<str>> = silent.map(|(name, _)| name.clone()).collect();
-        self.peers.retain(|_, peer| now.since(peer.heard_at) < FORGOTTEN_AFTER);
+        self.peers.retain(|_, peer| now.since(peer.received_at) < REMOVED_AFTER);
         self.count_regions();
         silent
     }
 
-    /// The daemons that are up.
+    /// Iterates over the daemons that are up.
     pub fn up(&self, now: Time) -> impl Iterator<Item = (&Rc<str>, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| self.is_up(now, peer))
     }
 
-    /// Where all daemons known hear datagrams, silent ones among them.
+    /// Addresses of all known daemons, including silent ones.
     pub fn all(&self) -> impl Iterator<Item = SocketAddr> {
-        let heard = self.peers.values().map(|peer| peer.heartbeat.address);
-        heard.chain(self.heard_of.iter().map(|other| other.address))
+        let peers = self.peers.values().map(|peer| peer.heartbeat.address);
+        peers.chain(self.candidates.iter().map(|other| other.address))
     }
 
-    /// Where all daemons that are up hear datagrams.
+    /// Addresses of all daemons that are up.
     pub fn addresses(&self, now: Time) -> Vec<SocketAddr> {
         self.up(now).map(|(_, peer)| peer.heartbeat.address).collect()
     }
 
-    /// Where the next heartbeat goes: some daemons in turn, and whoever was only heard of.
+    /// Returns the targets of the next heartbeat: some daemons in turn, and some that are known
+    /// only by address.
     pub fn targets(&mut self, now: Time) -> Vec<SocketAddr> {
-        let spares_far = self.spares_far();
-        let mut all = self.whose_turn();
-        let greeted = self.heard_of.len().min(GREETED_AT_ONCE);
-        for other in &mut self.heard_of[..greeted] {
+        let limits_remote_heartbeats = self.limits_remote_heartbeats();
+        let mut all = self.next_in_turn();
+        let contacted = self.candidates.len().min(CANDIDATES_PER_HEARTBEAT);
+        for other in &mut self.candidates[..contacted] {
             all.push(other.address);
-            other.greetings_left -= 1;
+            other.attempts_left -= 1;
         }
-        self.heard_of.rotate_left(greeted);
-        self.heard_of.retain(|other| other.greetings_left > 0);
-        let few = self.up(now).next().is_none();
-        let unheard = self.seeds.iter().filter(|seed| **seed != self.me && !all.contains(seed));
-        let unheard: Vec<SocketAddr> = unheard.copied().collect();
-        if few || self.beats.is_multiple_of(SEEDS_EVERY) {
-            all.extend(unheard);
+        self.candidates.rotate_left(contacted);
+        self.candidates.retain(|other| other.attempts_left > 0);
+        let is_alone = self.up(now).next().is_none();
+        let unheard_seeds =
+            self.seeds.iter().filter(|seed| **seed != self.me && !all.contains(seed));
+        let unheard_seeds: Vec<SocketAddr> = unheard_seeds.copied().collect();
+        if is_alone || self.heartbeats_sent.is_multiple_of(SEED_INTERVAL) {
+            all.extend(unheard_seeds);
         }
-        self.beats += 1;
-        if all.len() <= FAN_OUT && !spares_far {
+        self.heartbeats_sent += 1;
+        if all.len() <= FAN_OUT && !limits_remote_heartbeats {
             self.turn = self.turn.wrapping_add(1);
         }
         all
     }
 
-    fn whose_turn(&mut self) -> Vec<SocketAddr> {
+    fn next_in_turn(&mut self) -> Vec<SocketAddr> {
         let address = |peer: &&Peer| peer.heartbeat.address;
-        if !self.spares_far() {
+        if !self.limits_remote_heartbeats() {
             let all = self.peers.values().map(|peer| address(&peer)).collect();
-            return some_in_turn(&mut self.turn, all, FAN_OUT);
+            return take_in_turn(&mut self.turn, all, FAN_OUT);
         }
         let own = self.regions.own();
-        let (near, far): (Vec<&Peer>, Vec<&Peer>) =
+        let (local, remote): (Vec<&Peer>, Vec<&Peer>) =
             self.peers.values().partition(|peer| peer.region == *own);
-        let near = near.iter().map(address).collect();
-        let far = far.iter().map(address).collect();
-        let mut all = some_in_turn(&mut self.turn, near, FAN_OUT - FAN_OUT_FAR);
-        all.extend(some_in_turn(&mut self.far_turn, far, FAN_OUT_FAR));
+        let local = local.iter().map(address).collect();
+        let remote = remote.iter().map(address).collect();
+        let mut all = take_in_turn(&mut self.turn, local, FAN_OUT - REMOTE_FAN_OUT);
+        all.extend(take_in_turn(&mut self.remote_turn, remote, REMOTE_FAN_OUT));
         all
     }
 
-    /// Some daemons to tell others of.
+    /// Returns addresses of some daemons, to be passed on to others.
     pub fn known(&self, now: Time) -> Vec<SocketAddr> {
         let all = self.addresses(now);
         let start = if all.is_empty() { 0 } else { self.turn % all.len() };
-        all.iter().cycle().skip(start).take(all.len().min(KNOWN_CARRIED)).copied().collect()
-    }
-
-    /// Some daemons to tell one that has heard of `heard`, in turn; none if that is not far fewer
-    /// than are known here.
-    pub fn addresses_for_new_peer(&mut self, now: Time, heard: usize) -> Vec<SocketAddr> {
-        if self.up(now).count() <= 2 * heard + FEWER {
+        all.iter()
+            .cycle()
+            .skip(start)
+            .take(all.len().min(ADDRESSES_PER_HEARTBEAT))
+            .copied()
+            .collect()
+    }
+
+    /// Returns addresses, in turn, for a peer that knows `known` others. Empty unless that is far
+    /// fewer than are known here.
+    pub fn addresses_for_new_peer(&mut self, now: Time, known: usize) -> Vec<SocketAddr> {
+        if self.up(now).count() <= 2 * known + NEW_PEER_MARGIN {
             return Vec::new();
         }
         let all = self.addresses(now);
-        self.newcomer_turn += TOLD_NEWCOMER;
-        let start = self.newcomer_turn % all.len();
-        all.iter().cycle().skip(start).take(all.len().min(TOLD_NEWCOMER)).copied().collect()
-    }
-
-    /// The daemon that may order a server, as far as heard lately.
-    pub fn orderer(&self, now: Time, mark: u32) -> Option<(&Rc<str>, &Peer)> {
+        self.new_peer_turn += ADDRESSES_FOR_NEW_PEER;
+        let start = self.new_peer_turn % all.len();
+        all.iter()
+            .cycle()
+            .skip(start)
+            .take(all.len().min(ADDRESSES_FOR_NEW_PEER))
+            .copied()
+            .collect()
+    }
+
+    /// The daemon that holds the claim on a server, according to recent heartbeats.
+    pub fn orderer(&self, now: Time, hash: u32) -> Option<(&Rc<str>, &Peer)> {
         self.peers.iter().find(|(_, peer)| {
-            let fresh = now.since(peer.heard_at) < self.orders_fresh(peer);
-            fresh && !peer.heartbeat.leaving && peer.heartbeat.orders.contains(&mark)
+            let fresh = now.since(peer.received_at) < self.claim_ttl(peer);
+            fresh && !peer.heartbeat.leaving && peer.heartbeat.orders.contains(&hash)
         })
     }
 
-    /// A machine, by its daemon's name and address, if it was heard within `span`.
+    /// The peer on a machine, given as daemon name and address, if a heartbeat arrived within
+    /// `span`.
     fn machine(&self, now: Time, machine: &str, span: Duration) -> Option<&Peer> {
         let (node, _) = machine.rsplit_once('|')?;
         let peer = self.peers.get(node)?;
-        let known = machine_name(&peer.heartbeat) == machine && now.since(peer.heard_at) < span;
+        let known = machine_name(&peer.heartbeat) == machine && now.since(peer.received_at) < span;
         known.then_some(peer)
     }
 
-    /// True if a machine, by its daemon's name and address, was heard within `span`, or within a round of
-    /// its heartbeats if it is of another region.
+    /// Returns true if a heartbeat of a machine, given as daemon name and address, arrived within
+    /// `span`, or within one round of heartbeats if it is in another region.
     pub fn heard_within(&self, now: Time, machine: &str, span: Duration) -> bool {
         let own = self.regions.own();
         let Some(peer) = self.machine(now, machine, Duration::MAX) else { return false };
-        let span = if peer.region == *own { span } else { span.max(self.round(&peer.region)) };
-        now.since(peer.heard_at) < span
+        let span =
+            if peer.region == *own { span } else { span.max(self.round_duration(&peer.region)) };
+        now.since(peer.received_at) < span
     }
 
-    /// Where a machine hears datagrams; `None` if it is leaving or has fallen silent. One that was
-    /// never heard is believed to be where its name says: a daemon that has just started hears of
-    /// some only after seconds.
+    /// Address of a machine; `None` if it is leaving or silent. A machine that was never heard from
+    /// is assumed to be at the address in its name: a daemon that has just started learns of some
+    /// others only after seconds.
     pub fn machine_address(&self, now: Time, machine: &str) -> Option<SocketAddr> {
         let (node, address) = machine.rsplit_once('|')?;
         if !self.peers.contains_key(node) {
             return address.parse().ok();
         }
-        let span = self.orders_fresh(self.peers.get(node)?);
+        let span = self.claim_ttl(self.peers.get(node)?);
         let peer = self.machine(now, machine, span)?;
         (!peer.heartbeat.leaving).then_some(peer.heartbeat.address)
     }
 
-    /// For how long no other daemon has been heard; `None` if none ever was.
+    /// Time since the last heartbeat of any other daemon; `None` if there was none.
     pub fn silent_for(&self, now: Time) -> Option<Duration> {
-        self.heard_at.map(|at| now.since(at))
+        self.received_at.map(|at| now.since(at))
     }
 
-    /// The data halls other than `mine` from which nothing is heard any more although it should be:
-    /// they are cut off, or this one is. None if nothing is heard of this daemon's own hall either,
-    /// since the daemon itself is cut off then.
+    /// The silent data halls other than `mine`: they are cut off, or this one is. Empty if this
+    /// daemon's own hall is silent too, since then the daemon itself is cut off.
     pub fn silent_halls(&self, now: Time, mine: &str) -> Vec<Rc<str>> {
         let mut halls: BTreeMap<&str, (usize, Time)> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| self.is_up(now, peer)) {
-            let (known, heard_at) = halls.entry(&peer.heartbeat.hall).or_default();
+            let (known, received_at) = halls.entry(&peer.heartbeat.hall).or_default();
             *known += 1;
-            *heard_at = peer.heard_at.max(*heard_at);
+            *received_at = peer.received_at.max(*received_at);
         }
         let is_silent = |hall: &str| {
             halls.get(hall).is_some_and(|(known, at)| {
-                self.is_silence(&self.region(hall), *known, now.since(*at))
+                self.counts_as_silent(&self.region(hall), *known, now.since(*at))
             })
         };
         if is_silent(mine) || !halls.contains_key(mine) {
@@ -386,40 +401,43 @@
         silent.into_iter().collect()
     }
 
-    /// True if nothing was heard for so long of `known` daemons of a region that they are cut off.
-    fn is_silence(&self, region: &str, known: usize, since: Duration) -> bool {
-        let expected = self.round(region) / u32::try_from(known.max(1)).unwrap_or(u32::MAX);
-        known >= HALL_KNOWN && since >= HALL_SILENT.max(expected * HALL_BEATS_MISSED)
+    /// Returns true if `known` daemons of a region have been silent for so long that they must be
+    /// cut off.
+    fn counts_as_silent(&self, region: &str, known: usize, since: Duration) -> bool {
+        let expected =
+            self.round_duration(region) / u32::try_from(known.max(1)).unwrap_or(u32::MAX);
+        known >= MIN_KNOWN_IN_HALL
+            && since >= MIN_HALL_SILENCE.max(expected * MISSED_HALL_HEARTBEATS)
     }
 
-    /// The other regions of which nothing is heard, of whichever hall: a cut region is found sooner than
-    /// each of its halls by itself.
+    /// Other regions that are silent as a whole. A region that is cut off is detected sooner than
+    /// each of its halls on its own.
     fn silent_regions(&self, now: Time, halls: &BTreeMap<&str, (usize, Time)>) -> Vec<Rc<str>> {
         let mut regions: BTreeMap<Rc<str>, (usize, Time)> = BTreeMap::new();
-        for (hall, (known, heard_at)) in halls {
+        for (hall, (known, received_at)) in halls {
             let (all, last) = regions.entry(self.region(hall)).or_default();
             *all += known;
-            *last = (*last).max(*heard_at);
+            *last = (*last).max(*received_at);
         }
         regions.remove(self.regions.own());
         let silent = regions
             .into_iter()
-            .filter(|(region, (known, at))| self.is_silence(region, *known, now.since(*at)));
+            .filter(|(region, (known, at))| self.counts_as_silent(region, *known, now.since(*at)));
         silent.map(|(region, _)| region).collect()
     }
 
-    /// True if every heartbeat reaches all daemons.
+    /// Returns true if every heartbeat goes to all daemons.
     pub fn is_full_mesh(&self) -> bool {
         self.peers.len() <= FAN_OUT
     }
 
-    /// Where the daemons of a hall are, in the order in which they watch the store for the others;
-    /// `node`, this daemon, is among them.
+    /// Addresses of the daemons of a hall in the order in which they watch the store for the
+    /// others. Includes this daemon, `node`.
     pub fn watch_order(&self, now: Time, hall: &str, node: &str) -> Vec<SocketAddr> {
         self.group_order(now, hall, node, |other| other == hall)
     }
 
-    /// The same for a group of halls with a name of its own.
+    /// The same for a named group of halls.
     pub fn group_order(
         &self,
         now: Time,
@@ -440,17 +458,17 @@
         self.by_capacity(group, names).into_iter().filter_map(address).collect()
     }
 
-    /// The daemons that are up and stay: where each is and in which hall, the best suited first.
+    /// The daemons that are up and not leaving, with their halls, the highest capacity first.
     pub fn not_leaving(&self, now: Time) -> Vec<(SocketAddr, &str)> {
         let up = self.up(now).map(|(_, peer)| &peer.heartbeat);
-        let mut staying: Vec<&Heartbeat> = up.filter(|heartbeat| !heartbeat.leaving).collect();
-        staying.sort_by_key(|heartbeat| std::cmp::Reverse(heartbeat.capacity));
-        staying.into_iter().map(|heartbeat| (heartbeat.address, &*heartbeat.hall)).collect()
+        let mut active: Vec<&Heartbeat> = up.filter(|heartbeat| !heartbeat.leaving).collect();
+        active.sort_by_key(|heartbeat| std::cmp::Reverse(heartbeat.capacity));
+        active.into_iter().map(|heartbeat| (heartbeat.address, &*heartbeat.hall)).collect()
     }
 
-    /// Daemons of a hall in the order in which they work for others of it: those of the best suited
-    /// nodes first. With a small node's link of 20 Mbit/s a configuration of 1,700 routes took 3 s
-    /// to reach 20 others.
+    /// The order in which daemons of a hall work on behalf of the others: nodes with the highest
+    /// capacity first. Over a small node's link of 20 Mbit/s a configuration of 1,700 routes took
+    /// 3 s to reach 20 others.
     pub fn by_capacity<'a>(&self, hall: &str, names: Vec<&'a str>) -> Vec<&'a str> {
         let mut order = ranked(hall, names);
         let capacity = |name: &&str| match self.peers.get(*name) {
@@ -461,10 +479,10 @@
         order
     }
 
-    /// Where notices go: to all daemons of a small fleet; in larger ones to those that watch the
-    /// store for their hall, which pass them on.
+    /// Targets of notices: all daemons of a small fleet; in larger fleets those that watch the
+    /// store for their hall, which forward them.
     pub fn notice_targets(&self, now: Time) -> Vec<SocketAddr> {
-        if self.peers.len() <= NOTICE_ALL {
+        if self.peers.len() <= MAX_DAEMONS_FOR_ALL_NOTICES {
             return self.addresses(now);
         }
         let watching = self.up(now).filter(|(_, peer)| peer.heartbeat.watches);
@@ -479,8 +497,8 @@
         peers.map(|peer| peer.heartbeat.address).collect()
     }
 
-    /// A daemon that knows more of the store than this one, which is in `eras` at `revision`: the one that knows
-    /// most.
+    /// The daemon that knows the latest state of the store, if that is later than this one's
+    /// `revision` in `eras`.
     pub fn most_up_to_date(
         &self,
         now: Time,
@@ -495,37 +513,37 @@
         known.filter(|(position, _)| *position > mine).max().map(|(_, address)| address)
     }
 
-    /// A daemon that believes items against the store's copy of an era.
+    /// A daemon that retains items against the store's copy of an era.
     pub fn with_kept_items(&self, now: Time, era: StoreEra) -> Option<SocketAddr> {
-        let mut keeping = self.up(now).filter(|(_, peer)| {
-            let told = peer.heartbeat.store;
-            told.era == era && told.kept > 0
+        let mut retaining = self.up(now).filter(|(_, peer)| {
+            let report = peer.heartbeat.store;
+            report.era == era && report.kept > 0
         });
-        keeping.next().map(|(_, peer)| peer.heartbeat.address)
+        retaining.next().map(|(_, peer)| peer.heartbeat.address)
     }
 
-    /// All daemons that could order servers: up, seeing the store and not leaving.
+    /// All daemons that can claim servers: up, connected to the store and not leaving.
     pub fn claimants(&self, now: Time) -> Vec<Rc<str>> {
-        self.able_peers(now).map(|(name, _)| name.clone()).collect()
+        self.claimant_peers(now).map(|(name, _)| name.clone()).collect()
     }
 
-    /// The same, those of a hall and those of all others.
+    /// The same, split into those of a hall and all others.
     pub fn claimants_by_hall(&self, now: Time, hall: &str) -> (Vec<Rc<str>>, Vec<Rc<str>>) {
-        let (near, far): (Vec<_>, Vec<_>) =
-            self.able_peers(now).partition(|(_, peer)| peer.heartbeat.hall == hall);
+        let (local, remote): (Vec<_>, Vec<_>) =
+            self.claimant_peers(now).partition(|(_, peer)| peer.heartbeat.hall == hall);
         let names = |peers: Vec<(&Rc<str>, &Peer)>| {
             peers.into_iter().map(|(name, _)| name.clone()).collect()
         };
-        (names(near), names(far))
+        (names(local), names(remote))
     }
 
-    fn able_peers(&self, now: Time) -> impl Iterator<Item = (&Rc<str>, &Peer)> {
+    fn claimant_peers(&self, now: Time) -> impl Iterator<Item = (&Rc<str>, &Peer)> {
         self.up(now).filter(|(_, peer)| peer.heartbeat.sees_store && !peer.heartbeat.leaving)
     }
 }
 
-/// Some of a list, from where the last turn ended.
-fn some_in_turn(turn: &mut usize, mut all: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
+/// Takes up to `most` entries of a list, continuing where the last call ended.
+fn take_in_turn(turn: &mut usize, mut all: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
     if all.len() > most {
         let start = *turn % all.len();
         all.rotate_left(start);
@@ -535,7 +553,7 @@
     all
 }
 
-/// A machine by its daemon's name and address; stays the same over restarts.
+/// Identifies a machine by its daemon's name and address, which survives restarts.
 pub fn machine_name(heartbeat: &Heartbeat) -> String {
     format!("{}|{}", heartbeat.node, heartbeat.address)
 }
--- a/crates/portrack/src/gateway/fleet/recipients.rs
+++ b/crates/portrack/src/gateway/fleet/recipients.rs
@@ -1,33 +1,39 @@
-//! Which nodes are told of a duty: of a request that servers ended under, of a server that names a limit.
+//! Selects the nodes that are notified, for instance of a request whose server ended while running
+//! it, or of a server that advertises a limit.
 
 use super::daemons::{DaemonInfo, Daemons};
 use std::net::SocketAddr;
 
-/// Up to so many daemons all take part in every duty.
-const ALL_HAVE_PART: usize = 24;
-/// In larger fleets so many daemons of each data hall do: a hall that is cut off goes on by itself, and one
-/// of them may be gone.
-const PART_IN_HALL: usize = 2;
+/// In fleets of up to this size every daemon is assigned to every key.
+const MAX_DAEMONS_ALL_ASSIGNED: usize = 24;
+/// In larger fleets this many daemons of each data hall are assigned to a key: a hall that is cut
+/// off keeps working on its own, and one of the two may be down.
+const ASSIGNED_PER_HALL: usize = 2;
 
-/// Whom something concerns.
+/// The nodes that a message goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recipients {
-    /// The nodes that have part in the duty.
+    /// The nodes assigned to the key.
     Assigned,
-    /// All nodes. In large fleets each data hall hears from its sharers.
+    /// All nodes. In large fleets the assigned nodes forward it within their own data hall.
     All,
 }
 
 impl Recipients {
-    /// Where it is, `me` not among it.
-    pub fn addresses(self, daemons: &Daemons, me: &DaemonInfo, duty: u64) -> Vec<SocketAddr> {
+    /// Returns the addresses of the recipients for a routing key, without `me`.
+    pub fn addresses(
+        self,
+        daemons: &Daemons,
+        me: &DaemonInfo,
+        routing_key: u64,
+    ) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = match self {
-            _ if all_have_part(daemons) => daemons.all().map(|daemon| daemon.address).collect(),
-            Self::Assigned => sharers(daemons, duty),
+            _ if all_are_assigned(daemons) => daemons.all().map(|daemon| daemon.address).collect(),
+            Self::Assigned => assigned(daemons, routing_key),
             Self::All => {
                 let hall = daemons.all().filter(|daemon| daemon.hall == me.hall);
                 let hall = hall.map(|daemon| daemon.address);
-                hall.chain(sharers(daemons, duty)).collect()
+                hall.chain(assigned(daemons, routing_key)).collect()
             }
         };
         all.retain(|address| *address != me.address);
@@ -37,20 +43,21 @@
     }
 }
 
-fn all_have_part(daemons: &Daemons) -> bool {
-    daemons.count() <= ALL_HAVE_PART
+fn all_are_assigned(daemons: &Daemons) -> bool {
+    daemons.count() <= MAX_DAEMONS_ALL_ASSIGNED
 }
 
-fn sharers(daemons: &Daemons, duty: u64) -> Vec<SocketAddr> {
-    daemons.of_each_hall(duty, PART_IN_HALL)
+fn assigned(daemons: &Daemons, routing_key: u64) -> Vec<SocketAddr> {
+    daemons.of_each_hall(routing_key, ASSIGNED_PER_HALL)
 }
 
-/// True if a daemon has to pass on what it hears of a duty: it has part in it, and not all do.
-pub fn must_forward(daemons: &Daemons, me: &DaemonInfo, duty: u64) -> bool {
-    !all_have_part(daemons) && sharers(daemons, duty).contains(&me.address)
+/// Returns true if a daemon has to forward what it receives about a key: it is assigned to the key,
+/// and not all daemons are.
+pub fn must_forward(daemons: &Daemons, me: &DaemonInfo, routing_key: u64) -> bool {
+    !all_are_assigned(daemons) && assigned(daemons, routing_key).contains(&me.address)
 }
 
-/// True if a daemon is the one that keeps the store's record of a duty.
-pub fn writes_record(daemons: &Daemons, me: &DaemonInfo, duty: u64) -> bool {
-    daemons.first(duty, |_| true) == Some(me.address)
+/// Returns true if a daemon is the one that writes the store's record for a key.
+pub fn writes_record(daemons: &Daemons, me: &DaemonInfo, routing_key: u64) -> bool {
+    daemons.first(routing_key, |_| true) == Some(me.address)
 }
--- a/crates/portrack/src/gateway/fleet/regions.rs
+++ b/crates/portrack/src/gateway/fleet/regions.rs
@@ -1,19 +1,19 @@
-//! Which data halls lie in which region.
+//! Assigns data halls to regions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The regions in which something may be served.
+/// The regions in which requests may be served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AllowedRegions(BTreeSet<Rc<str>>);
 
 impl AllowedRegions {
-    /// These regions and no others.
+    /// Allows these regions and no others.
     pub fn new(regions: impl IntoIterator<Item = Rc<str>>) -> Self {
         Self(regions.into_iter().collect())
     }
 
-    /// True if a region is one of them.
+    /// Returns true if a region is allowed.
     pub fn contains(&self, region: &str) -> bool {
         self.0.contains(region)
     }
@@ -24,12 +24,12 @@
 pub struct Regions {
     own: Rc<str>,
     halls: BTreeMap<Rc<str>, Rc<str>>,
-    /// More than one region is named.
+    /// The settings name more than one region.
     many: bool,
 }
 
 impl Regions {
-    /// The regions of `halls`, seen from the hall `own`.
+    /// Creates the table for `halls`, seen from the hall `own`.
     pub fn new(own: &str, halls: &BTreeMap<String, String>) -> Self {
         let halls: BTreeMap<Rc<str>, Rc<str>> = halls
             .iter()
@@ -40,18 +40,18 @@
         Self { own, halls, many }
     }
 
-    /// The region of this daemon's hall; empty where the settings name none.
+    /// The region of this daemon's hall; empty if the settings name none.
     pub fn own(&self) -> &Rc<str> {
         &self.own
     }
 
-    /// The region of a hall; `None` for one that the settings do not name.
+    /// The region of a hall; `None` if the settings do not name it.
     pub fn of(&self, hall: &str) -> Option<&Rc<str>> {
         self.halls.get(hall)
     }
 
-    /// True if a hall is of this daemon's region. A hall of no known region is, unless others are
-    /// known: its servers may be anywhere then.
+    /// Returns true if a hall is in this daemon's region. A hall without a region is, unless other
+    /// halls have one: its servers may be anywhere then.
     pub fn is_own(&self, hall: &str) -> bool {
         match self.of(hall) {
             Some(region) => *region == self.own,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// True if there is more than one region.
+    /// Returns true if there is more than one region.
     pub fn is_multi_region(&self) -> bool {
         self.many
     }
 
-    /// All regions by name.
+    /// All region names, sorted.
     pub fn names(&self) -> BTreeSet<&Rc<str>> {
         self.halls.values().collect()
     }
@@ -74,8 +74,8 @@
         self.halls.iter().filter(move |(_, of)| ***of == *region).map(|(hall, _)| hall)
     }
 
-    /// The region that does duties for the servers of a hall: its own, or the first by name for a hall
-    /// that the settings do not name, so that everybody knows the same one.
+    /// The region whose daemons do the tasks for the servers of a hall: its own, or the first by
+    /// name for a hall that the settings do not name, so that all daemons agree.
     pub fn responsible_region(&self, hall: &str) -> &Rc<str> {
         self.of(hall).or_else(|| self.names().first().copied()).unwrap_or(&self.own)
     }
--- a/crates/portrack/src/gateway/fleet/server_incarnations.rs
+++ b/crates/portrack/src/gateway/fleet/server_incarnations.rs
@@ -1,120 +1,126 @@
-//! Which life of a server an entry is of. A server that starts again may keep its id.
+//! Decides which incarnation of a server an entry belongs to. A server that restarts may keep its
+//! id.
 
 use super::backend::Backend;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Servers that are gone and whose newest life is remembered: more than twice a fleet of 1,500. Without
-/// it a late entry of a former life is taken for a new server.
+/// Number of removed servers whose latest incarnation is remembered: more than twice a fleet of
+/// 1,500. Without it a late entry of an earlier incarnation would be taken for a new server.
 pub const MAX_REMOVED_INCARNATIONS: usize = 4_096;
 
-/// What an entry is to what is known of its server.
+/// How an entry compares with what is known about its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryStatus {
-    /// Nothing is known of the server.
+    /// The server is unknown.
     First,
-    /// It is of the life that is known, and not older than what is known of it.
+    /// The entry is of the known incarnation, and no older than what is known about it.
     Same,
-    /// The server has started again since.
+    /// The server has restarted.
     Restarted {
-        /// The start of the life before.
+        /// Start time of the previous incarnation.
         before: Option<u64>,
     },
-    /// It is of a former life, or was written before what is known.
+    /// The entry is of an earlier incarnation, or was written before what is known.
     Stale,
 }
 
 #[derive(Debug, Clone)]
-struct Life {
+struct Incarnation {
     born: Option<u64>,
     orders_taken: u64,
     draining: bool,
-    /// The number of its removal, if the server is gone.
-    gone: Option<u64>,
+    /// The removal number, if the server was removed.
+    removal: Option<u64>,
 }
 
-/// The newest known life of each server.
+/// The latest known incarnation of each server.
 #[derive(Debug, Clone, Default)]
 pub struct ServerIncarnations {
-    newest: BTreeMap<Rc<str>, Life>,
-    /// Servers that went, the earliest first, each with the number of its removal.
-    gone: VecDeque<(u64, Rc<str>)>,
+    newest: BTreeMap<Rc<str>, Incarnation>,
+    /// Removed servers with their removal numbers, the earliest first.
+    removed: VecDeque<(u64, Rc<str>)>,
     removals: u64,
 }
 
 impl ServerIncarnations {
-    /// Takes an entry in, unless it is older than what is known. A server that once said it is leaving
-    /// stays so for the rest of its life.
-    pub fn take(&mut self, backend: &mut Backend) -> EntryStatus {
+    /// Records an entry unless it is stale. A server that once reported that it is leaving stays so
+    /// for the rest of its incarnation.
+    pub fn record(&mut self, backend: &mut Backend) -> EntryStatus {
         let known = self.newest.get(&backend.id);
-        let entry_life = known.map_or(EntryStatus::First, |life| life.entry_life(backend));
-        match entry_life {
-            EntryStatus::Stale => return entry_life,
-            EntryStatus::Same => backend.draining |= known.is_some_and(|life| life.draining),
+        let status =
+            known.map_or(EntryStatus::First, |incarnation| incarnation.entry_status(backend));
+        match status {
+            EntryStatus::Stale => return status,
+            EntryStatus::Same => {
+                backend.draining |= known.is_some_and(|incarnation| incarnation.draining)
+            }
             EntryStatus::First | EntryStatus::Restarted { .. } => {}
         }
-        let life = Life {
+        let incarnation = Incarnation {
             born: backend.born,
             orders_taken: backend.orders_taken,
             draining: backend.draining,
-            gone: None,
+            removal: None,
         };
-        self.newest.insert(backend.id.clone(), life);
-        entry_life
+        self.newest.insert(backend.id.clone(), incarnation);
+        status
     }
 
-    /// A server is gone. Its newest life is remembered if its entries tell lives apart, or if it was leaving: its entry
-    /// may lapse while it lives, and come back as that of a server which takes work.
-    pub fn gone(&mut self, id: &str) {
-        let Some((id, life)) = self.newest.get_key_value(id) else { return };
-        let (id, told) = (id.clone(), life.born.is_some() || life.draining);
-        if !told {
+    /// Records that a server was removed. Its latest incarnation is remembered if its entries
+    /// report a start time, or if it was leaving: an entry may lapse while its server is alive, and
+    /// come back as that of a server that accepts work.
+    pub fn remove(&mut self, id: &str) {
+        let Some((id, incarnation)) = self.newest.get_key_value(id) else { return };
+        let (id, is_remembered) = (id.clone(), incarnation.born.is_some() || incarnation.draining);
+        if !is_remembered {
             self.newest.remove(&id);
             return;
         }
         self.removals += 1;
-        if let Some(life) = self.newest.get_mut(&id) {
-            life.gone = Some(self.removals);
+        if let Some(incarnation) = self.newest.get_mut(&id) {
+            incarnation.removal = Some(self.removals);
         }
-        self.gone.push_back((self.removals, id));
-        self.forget_earliest();
+        self.removed.push_back((self.removals, id));
+        self.evict_earliest();
     }
 
-    fn forget_earliest(&mut self) {
-        while self.gone.len() > MAX_REMOVED_INCARNATIONS {
-            let Some((removal, id)) = self.gone.pop_front() else { return };
-            if self.newest.get(&id).is_some_and(|life| life.gone == Some(removal)) {
+    fn evict_earliest(&mut self) {
+        while self.removed.len() > MAX_REMOVED_INCARNATIONS {
+            let Some((removal, id)) = self.removed.pop_front() else { return };
+            if self.newest.get(&id).is_some_and(|incarnation| incarnation.removal == Some(removal))
+            {
                 self.newest.remove(&id);
             }
         }
     }
 
-    /// The start of the newest life of a server, if it tells that.
+    /// Start time of the latest incarnation of a server, if it reports one.
     pub fn born(&self, id: &str) -> Option<u64> {
         self.newest.get(id)?.born
     }
 
-    /// How many servers are remembered, those that are gone included.
+    /// Number of remembered servers, including removed ones.
     pub fn len(&self) -> usize {
         self.newest.len()
     }
 
-    /// True if nothing is known of any server.
+    /// Returns true if no server is known.
     pub fn is_empty(&self) -> bool {
         self.newest.is_empty()
     }
 }
 
-impl Life {
-    /// What an entry is to this life.
-    fn entry_life(&self, backend: &Backend) -> EntryStatus {
+impl Incarnation {
+    /// Compares an entry with this incarnation.
+    fn entry_status(&self, backend: &Backend) -> EntryStatus {
         match (self.born, backend.born) {
-            // Servers that do not tell lives apart have a new id with each.
+            // Servers that do not report a start time get a new id with each start.
             (None, None) => EntryStatus::Same,
             (Some(_), None) => EntryStatus::Stale,
             (None, Some(_)) => EntryStatus::Restarted { before: None },
-            (Some(known), Some(told)) => match told.cmp(&known) {
+            (Some(known), Some(reported)) => match reported.cmp(&known) {
                 Ordering::Greater => EntryStatus::Restarted { before: self.born },
                 Ordering::Less => EntryStatus::Stale,
                 Ordering::Equal if backend.orders_taken < self.orders_taken => EntryStatus::Stale,
--- a/crates/portrack/src/gateway/fleet/trailing_field.rs
+++ b/crates/portrack/src/gateway/fleet/trailing_field.rs
@@ -1,9 +1,10 @@
-//! Fields that a message has grown at its end.
+//! Fields added to the end of a message format.
 
 use serde::{Deserialize, Deserializer};
 
-/// Reads a field at the very end of a message that former builds do not write: left out, it has its default. Without
-/// it two builds would be deaf to each other while the nodes of a fleet are replaced.
+/// Deserialises a trailing field that earlier builds do not write; if it is missing, it has its
+/// default. Without this, two builds could not read each other's messages while the nodes of a
+/// fleet are upgraded.
 pub fn or_default<'de, D, T>(from: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/portrack/src/gateway/fleet/versions.rs
+++ b/crates/portrack/src/gateway/fleet/versions.rs
@@ -1,47 +1,49 @@
-//! Which versions of an adapter may be used, and how the one for a request was chosen.
+//! Determines which versions of an adapter may be used, and how the one for a request was chosen.
 
 use crate::types::Time;
 use std::time::Duration;
 
-/// An older version may still be used for this long after a newer one became known, so that requests
-/// need not wait while the newer one is loaded. With the time until its name is known everywhere,
-/// and the time that a request may wait at its server, that stays below the 5 s after which users
-/// allow no older version.
+/// For this long after a newer version became known an older one may still be used, so that
+/// requests need not wait while the newer one loads. Together with the time until the announcement
+/// is known everywhere and the time that a request may wait at its server, this stays below the 5 s
+/// after which users allow no older version.
 pub const VERSION_GRACE: Duration = Duration::from_millis(1_200);
 
-/// The name of a version whose grace may not be over.
+/// An announced version whose grace period may still run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct RecentName {
+struct RecentAnnouncement {
     version: u64,
     learned_at: Time,
 }
 
-/// The named versions of one adapter, as far as they decide what may be used.
+/// The announced versions of one adapter, as far as they affect what may be used.
 ///
-/// Each name ends the use of all versions below it, a grace after it became known *itself*. It is not
-/// enough to keep the newest name and its time: version 1 then came back into use with the name of
-/// version 3, for another grace, although version 2 had ended its use long before.
+/// Each announcement ends the use of all lower versions one grace period after it became known
+/// *itself*. Keeping only the newest announcement and its time is not enough: version 1 then became
+/// usable again with the announcement of version 3, for another grace period, although version 2
+/// had ended its use long before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnnouncedVersions {
     newest: u64,
     learned_at: Option<Time>,
-    /// The names above `oldest_usable`, the oldest first.
-    recent: Vec<RecentName>,
-    /// Versions below it are out of use for good.
+    /// Announcements above `oldest_usable`, the oldest first.
+    recent: Vec<RecentAnnouncement>,
+    /// Lower versions are never usable again.
     oldest_usable: u64,
 }
 
 impl AnnouncedVersions {
-    /// The first name known. `learned_at` is `None` for a name that may be of any age: it gives
-    /// older versions no grace.
+    /// Starts with the first announcement. `learned_at` is `None` if its age is unknown: it then
+    /// gives older versions no grace period.
     pub fn new(version: u64, learned_at: Option<Time>) -> Self {
-        let mut names = Self { newest: 0, learned_at: None, recent: Vec::new(), oldest_usable: 0 };
-        names.learn(version, learned_at);
-        names
+        let mut announced =
+            Self { newest: 0, learned_at: None, recent: Vec::new(), oldest_usable: 0 };
+        announced.learn(version, learned_at);
+        announced
     }
 
-    /// Takes a name in; false if it is not newer than those known. Whatever the order of names, it
-    /// makes no version usable that was not before.
+    /// Applies an announcement. Returns false if it is not newer than those known. Whatever the
+    /// order of announcements, none makes a version usable that was not usable before.
     pub fn learn(&mut self, version: u64, learned_at: Option<Time>) -> bool {
         if version <= self.newest {
             return false;
@@ -50,8 +52,8 @@
         self.learned_at = learned_at;
         match learned_at {
             Some(learned_at) => {
-                self.end_graces(learned_at);
-                self.recent.push(RecentName { version, learned_at });
+                self.expire_grace_periods(learned_at);
+                self.recent.push(RecentAnnouncement { version, learned_at });
             }
             None => {
                 self.oldest_usable = version;
@@ -61,25 +63,27 @@
         true
     }
 
-    /// The newest version named.
+    /// The newest announced version.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Forgets names whose grace is over, and keeps what they put out of use.
-    fn end_graces(&mut self, now: Time) {
+    /// Drops announcements whose grace period is over, and keeps their effect.
+    fn expire_grace_periods(&mut self, now: Time) {
         self.oldest_usable = self.oldest_usable_at(now);
         let oldest = self.oldest_usable;
-        self.recent.retain(|name| name.version > oldest);
+        self.recent.retain(|announcement| announcement.version > oldest);
     }
 
     fn oldest_usable_at(&self, now: Time) -> u64 {
-        let over = |name: &&RecentName| now.since(name.learned_at) >= VERSION_GRACE;
-        let ended = self.recent.iter().filter(over).map(|name| name.version);
+        let over = |announcement: &&RecentAnnouncement| {
+            now.since(announcement.learned_at) >= VERSION_GRACE
+        };
+        let ended = self.recent.iter().filter(over).map(|announcement| announcement.version);
         ended.max().unwrap_or(0).max(self.oldest_usable)
     }
 
-    /// What they amount to at this moment.
+    /// Computes the usable versions at a time.
     pub fn at(&self, now: Time) -> UsableVersions {
         UsableVersions {
             newest: self.newest,
@@ -89,35 +93,35 @@
     }
 }
 
-/// The versions of an adapter that may be used at a moment.
+/// The versions of an adapter that may be used at a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsableVersions {
-    /// The newest one named.
+    /// The newest announced version.
     pub newest: u64,
-    /// The oldest one that may still be used where the newest is missing or busy.
+    /// The oldest version that may still be used if the newest is missing or busy.
     pub oldest: u64,
-    /// Since when the newest is known; `None` if its name may be of any age.
+    /// Time since the newest version became known; `None` if its age is unknown.
     pub newest_known_for: Option<Duration>,
 }
 
 /// How the version for a request was chosen, for its log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionChoice {
-    /// What the chosen server is believed to hold.
+    /// The version that the chosen server is assumed to hold.
     pub held: u64,
-    /// What could be used then; `None` if nobody ever named a version.
+    /// The versions that were usable then; `None` if no version was ever announced.
     pub usable: Option<UsableVersions>,
 }
 
 impl VersionChoice {
-    /// What the server is told that it must hold; `None` if it may run any version. Once a version was
-    /// named, the server is told which one is meant, also if it is an older one: a server that holds
-    /// something else than believed turns the request away in place of running it.
+    /// The version that the server is required to hold; `None` if it may run any version. Once a
+    /// version was announced, the required version is always sent, even an older one: a server that
+    /// holds another version than assumed then rejects the request instead of running it.
     pub fn demanded(&self) -> Option<u64> {
         self.usable.map(|_| self.held)
     }
 
-    /// True if a newer version was known when the server was chosen.
+    /// Returns true if a newer version was known when the server was chosen.
     pub fn is_older(&self) -> bool {
         self.usable.is_some_and(|usable| self.held < usable.newest)
     }
@@ -126,15 +130,15 @@
 /// A [`VersionChoice`] as the fields of a log line; all 0 if no server with an adapter was chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(in crate::gateway) struct VersionFields {
-    /// What the server is believed to hold.
+    /// The version that the server is assumed to hold.
     pub held: u64,
-    /// What it is told that it must hold; 0 if it may run any version.
+    /// The version that it is required to hold; 0 if it may run any version.
     pub demanded: u64,
-    /// The newest version named; 0 if nobody ever named one.
+    /// The newest announced version; 0 if there was none.
     pub newest: u64,
-    /// The oldest that could still be used; 0 likewise.
+    /// The oldest usable version; 0 if none was announced.
     pub oldest: u64,
-    /// Since when the newest is known, in milliseconds; -1 if its name may be of any age.
+    /// Milliseconds since the newest version became known; -1 if its age is unknown.
     pub newest_ms: i64,
 }
 
--- a/crates/portrack/src/gateway/fleet/view.rs
+++ b/crates/portrack/src/gateway/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon believes of the fleet: configuration, backend servers, versions, holdings.
+//! The daemon's view of the fleet: configuration, backend servers, adapter versions and locations.
 
 use super::backend::Backend;
 use super::config::{FleetConfig, Route, Service};
@@ -14,62 +14,62 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// The version of adapters that nobody ever named anew.
+/// The version of adapters for which no version was announced.
 pub const FIRST_VERSION: u64 = 1;
 
-/// What a change of the store changed in the view.
+/// Change of the view caused by a change of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ViewChange {
     /// A newer configuration is in force.
     Config(u64),
-    /// A server came up or its entry changed.
+    /// A server was added or its entry changed.
     Backend(Rc<str>),
-    /// A server says that it is leaving.
+    /// A server reports that it is leaving.
     Draining(Rc<str>),
-    /// A server has started again under its id: nothing of before holds.
+    /// A server has restarted under its id; nothing known about it before is valid.
     Restarted {
         /// The server.
         server: Rc<str>,
-        /// The start of the life before.
+        /// Start time of the previous incarnation.
         before: Option<u64>,
     },
-    /// An entry is of a former life, or older than what is known; it changes nothing.
+    /// An entry is of an earlier incarnation, or outdated; it has no effect.
     BackendStale(Rc<str>),
-    /// A server's entry is gone, or names no server any more.
+    /// A server's entry was removed, or no longer describes a usable server.
     BackendGone(Rc<str>),
-    /// An entry names no server to use.
+    /// An entry does not describe a usable server.
     BackendRefused {
         /// The id in its key.
         server: Rc<str>,
-        /// What is wrong with it.
+        /// The reason.
         why: String,
     },
-    /// A newer version of an adapter is named.
+    /// A newer version of an adapter was announced.
     Version(AdapterKey, u64),
-    /// A data hall is evacuated.
+    /// A data hall is being evacuated.
     HallEvacuated(Rc<str>),
-    /// A data hall is not evacuated any more, after this evacuation.
+    /// The evacuation of a data hall has ended.
     HallRestored(Rc<str>, Evacuation),
 }
 
-/// The view.
+/// The daemon's view of the fleet.
 #[derive(Debug, Default)]
 pub struct FleetView {
     config: Option<Rc<FleetConfig>>,
     routes: RouteTable,
-    /// The servers in use.
+    /// Usable servers.
     backends: BTreeMap<Rc<str>, Rc<Backend>>,
-    /// Well-formed entries, also those of services that the configuration does not name.
-    listed: BTreeMap<Rc<str>, Rc<Backend>>,
-    /// Entries that name no server to use.
+    /// Well-formed entries, including those of services that the configuration does not name.
+    entries: BTreeMap<Rc<str>, Rc<Backend>>,
+    /// Ids of entries that do not describe a usable server.
     refused: BTreeSet<Rc<str>>,
-    lives: ServerIncarnations,
+    incarnations: ServerIncarnations,
     versions: HashMap<AdapterKey, AnnouncedVersions>,
-    /// Keys that configurations have taken away.
+    /// Keys that configurations have removed.
     pub revoked: RevokedKeys,
-    /// Which server holds which adapter.
+    /// Which servers have which adapters.
     pub adapter_locations: AdapterLocations,
-    /// Data halls whose servers get nothing new.
+    /// Data halls whose servers get no new work.
     pub evacuated: EvacuatedHalls,
 }
 
@@ -79,7 +79,7 @@
         self.config.as_ref()
     }
 
-    /// The route of a host and path.
+    /// Finds the route for a host and path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         self.routes.find(host, path)
     }
@@ -99,23 +99,23 @@
         self.backends.values()
     }
 
-    /// The start of the newest life of a server, if it tells that.
+    /// Start time of the latest incarnation of a server, if it reports one.
     pub fn born(&self, id: &str) -> Option<u64> {
-        self.lives.born(id)
+        self.incarnations.born(id)
     }
 
-    /// How many entries name no server to use.
+    /// Number of entries that do not describe a usable server.
     pub fn refused_entries(&self) -> usize {
         self.refused.len()
     }
 
-    /// How many data halls have servers.
+    /// Number of data halls that have servers.
     pub fn halls(&self) -> usize {
         let halls: BTreeSet<&str> = self.backends.values().map(|backend| &*backend.hall).collect();
         halls.len()
     }
 
-    /// The servers of a service that take new work.
+    /// The servers of a service that accept new work.
     pub fn open_backends<'a>(
         &'a self,
         service: &'a str,
@@ -128,57 +128,60 @@
         self.backends.values().filter(move |backend| &*backend.hall == hall)
     }
 
-    /// True if a server takes new work.
+    /// Returns true if a server accepts new work.
     pub fn is_open(&self, backend: &Backend) -> bool {
         !backend.draining && !self.is_evacuated(backend)
     }
 
-    /// True if a server's data hall is evacuated.
+    /// Returns true if a server's data hall is being evacuated.
     pub fn is_evacuated(&self, backend: &Backend) -> bool {
         self.evacuated.has(&backend.hall)
     }
 
-    /// True if a server of an evacuated data hall may still get what no open server can serve.
+    /// Returns true if a server of an evacuated data hall may still get requests that no open
+    /// server can serve.
     pub fn is_closing(&self, now: Time, backend: &Backend) -> bool {
         !backend.draining && self.evacuated.is_closing(now, &backend.hall)
     }
 
-    /// True if a request may be sent to a server at this moment.
+    /// Returns true if a request may be sent to a server now.
     pub fn accepts_requests(&self, now: Time, id: &str) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| self.is_open(backend) || self.is_closing(now, backend))
     }
 
-    /// When an adapter is expected at a server that takes new work, if it is on its way to one.
+    /// When an adapter that is being loaded is expected at a server that accepts new work.
     pub fn expected(&self, now: Time, key: &AdapterKey) -> Option<Time> {
         let coming = self.adapter_locations.coming_to(now, key);
         let open = |id: &str| self.backends.get(id).is_none_or(|backend| self.is_open(backend));
         coming.filter(|(id, _)| open(id)).map(|(_, at)| at).min()
     }
 
-    /// The versions of an adapter that may be used now; `None` if nobody named one: it is at the first.
+    /// The versions of an adapter that may be used now; `None` if none was announced, which means
+    /// the first version.
     pub fn usable_versions(&self, now: Time, key: &AdapterKey) -> Option<UsableVersions> {
-        self.versions.get(key).map(|names| names.at(now))
+        self.versions.get(key).map(|announced| announced.at(now))
     }
 
-    /// The newest version of an adapter, as far as known.
+    /// The newest known version of an adapter.
     pub fn newest_version(&self, key: &AdapterKey) -> u64 {
         self.versions.get(key).map_or(FIRST_VERSION, AnnouncedVersions::newest)
     }
 
-    /// Takes a change of the mirror in. `learned_at` is `None` for what may be of any age. What cannot be
-    /// read is an error and changes nothing, but for a server's entry: that one names no server any more.
+    /// Applies a change of the mirror. `learned_at` is `None` if the age of the change is unknown.
+    /// An unreadable item returns an error and has no effect, except for a server's entry: the
+    /// server is then no longer usable.
     pub fn apply(
         &mut self,
         learned_at: Option<Time>,
         dialect: &dyn Dialect,
         change: MirrorChange,
     ) -> Result<Vec<ViewChange>, DialectError> {
-        let held = match change {
-            MirrorChange::Put(held) => held,
-            MirrorChange::Removed(key) => return Ok(self.apply_gone(dialect.key(&key))),
+        let item = match change {
+            MirrorChange::Put(item) => item,
+            MirrorChange::Removed(key) => return Ok(self.apply_removal(dialect.key(&key))),
         };
-        match dialect.item(&held.key, &held.value) {
+        match dialect.item(&item.key, &item.value) {
             Ok(Some(Item::Config(config))) => Ok(self.apply_config(*config)),
             Ok(Some(Item::Backend(backend))) => Ok(self.apply_backend(*backend)),
             Ok(Some(Item::AdapterVersion(key, version))) => {
@@ -189,9 +192,9 @@
                 Ok(is_new.then_some(ViewChange::HallEvacuated(hall)).into_iter().collect())
             }
             Ok(None) => Ok(Vec::new()),
-            Err(error) => match dialect.key(&held.key) {
+            Err(error) => match dialect.key(&item.key) {
                 ItemKey::Backend(id) => {
-                    self.listed.remove(&id);
+                    self.entries.remove(&id);
                     Ok(self.refuse(id, error.to_string()))
                 }
                 ItemKey::Config
@@ -202,7 +205,7 @@
         }
     }
 
-    fn apply_gone(&mut self, key: ItemKey) -> Vec<ViewChange> {
+    fn apply_removal(&mut self, key: ItemKey) -> Vec<ViewChange> {
         match key {
             ItemKey::Backend(id) => self.remove_backend(&id),
             ItemKey::EvacuatedHall(hall) => {
@@ -216,34 +219,35 @@
     /// A lower version never replaces a higher one.
     fn apply_config(&mut self, config: FleetConfig) -> Vec<ViewChange> {
         let version = config.version;
-        if self.config.as_ref().is_some_and(|held| held.version >= version) {
+        if self.config.as_ref().is_some_and(|config| config.version >= version) {
             return Vec::new();
         }
-        let before = self.config.as_ref().and_then(|held| held.organisations.as_ref());
+        let before = self.config.as_ref().and_then(|config| config.organisations.as_ref());
         self.revoked.update(before, config.organisations.as_ref());
         self.routes = RouteTable::new(&config);
         self.config = Some(Rc::new(config));
         let mut changes = vec![ViewChange::Config(version)];
-        changes.extend(self.fit_again());
+        changes.extend(self.recheck_entries());
         changes
     }
 
-    /// The servers that the configuration in force takes into use, and those that it takes out.
-    fn fit_again(&mut self) -> Vec<ViewChange> {
-        let turned = |backend: &&Rc<Backend>| match self.misfit(backend) {
+    /// Re-checks all entries against the configuration in force, and adds or removes servers
+    /// accordingly.
+    fn recheck_entries(&mut self) -> Vec<ViewChange> {
+        let changed = |backend: &&Rc<Backend>| match self.refusal_reason(backend) {
             None => !self.backends.contains_key(&backend.id),
             Some(_) => !self.refused.contains(&backend.id),
         };
-        let turned: Vec<Rc<Backend>> = self.listed.values().filter(turned).cloned().collect();
-        turned.into_iter().flat_map(|backend| self.fit(backend)).collect()
+        let changed: Vec<Rc<Backend>> = self.entries.values().filter(changed).cloned().collect();
+        changed.into_iter().flat_map(|backend| self.admit(backend)).collect()
     }
 
-    /// Why a well-formed entry names no server to use under the configuration in force.
-    fn misfit(&self, backend: &Backend) -> Option<&'static str> {
+    /// Why a well-formed entry does not describe a usable server under the configuration in force.
+    fn refusal_reason(&self, backend: &Backend) -> Option<&'static str> {
         match self.service(&backend.service) {
             None => Some("unknown service"),
             Some(service) if service.engine.is_some() && !backend.reports_models => {
-                Some("no word of what it holds")
+                Some("entry does not list its models")
             }
             Some(_) => None,
         }
@@ -251,9 +255,9 @@
 
     fn apply_backend(&mut self, mut backend: Backend) -> Vec<ViewChange> {
         let id = backend.id.clone();
-        let entry_life = self.lives.take(&mut backend);
+        let status = self.incarnations.record(&mut backend);
         let mut changes = Vec::new();
-        match entry_life {
+        match status {
             EntryStatus::Stale => return vec![ViewChange::BackendStale(id)],
             EntryStatus::Restarted { before } => {
                 self.adapter_locations.server_restarted(&id);
@@ -263,18 +267,18 @@
             EntryStatus::First | EntryStatus::Same => {}
         }
         let backend = Rc::new(backend);
-        self.listed.insert(id, backend.clone());
-        changes.extend(self.fit(backend));
+        self.entries.insert(id, backend.clone());
+        changes.extend(self.admit(backend));
         changes
     }
 
-    /// Takes a server into use, if it fits the configuration.
-    fn fit(&mut self, backend: Rc<Backend>) -> Vec<ViewChange> {
+    /// Adds a server if it fits the configuration.
+    fn admit(&mut self, backend: Rc<Backend>) -> Vec<ViewChange> {
         let id = backend.id.clone();
         if self.config.is_none() {
             return Vec::new();
         }
-        if let Some(why) = self.misfit(&backend) {
+        if let Some(why) = self.refusal_reason(&backend) {
             return self.refuse(id, why.into());
         }
         self.refused.remove(&id);
@@ -287,15 +291,16 @@
         }
     }
 
-    /// Takes a server out of use whose entry names none. Said once, not with each such entry.
+    /// Removes a server whose entry is not usable. The refusal is reported once, not for every such
+    /// entry.
     fn refuse(&mut self, id: Rc<str>, why: String) -> Vec<ViewChange> {
-        let gone = self.take_out(&id);
-        let news = self.refused.insert(id.clone());
-        let refused = news.then_some(ViewChange::BackendRefused { server: id, why });
-        gone.into_iter().chain(refused).collect()
+        let removed = self.remove_in_use(&id);
+        let is_new = self.refused.insert(id.clone());
+        let refused = is_new.then_some(ViewChange::BackendRefused { server: id, why });
+        removed.into_iter().chain(refused).collect()
     }
 
-    fn take_out(&mut self, id: &str) -> Option<ViewChange> {
+    fn remove_in_use(&mut self, id: &str) -> Option<ViewChange> {
         let removed = self.backends.remove(id)?;
         self.adapter_locations.list(Some(&removed), None);
         Some(ViewChange::BackendGone(removed.id.clone()))
@@ -303,16 +308,16 @@
 
     fn remove_backend(&mut self, id: &str) -> Vec<ViewChange> {
         self.refused.remove(id);
-        self.listed.remove(id);
-        self.lives.gone(id);
-        self.take_out(id).into_iter().collect()
+        self.entries.remove(id);
+        self.incarnations.remove(id);
+        self.remove_in_use(id).into_iter().collect()
     }
 
-    /// A server itself has told of a life that started later than what the store tells. What else it says
-    /// of this life comes with its entry.
+    /// Handles a server's own report of a later start time than the store has. Everything else
+    /// about this incarnation comes with its entry.
     pub fn on_newer_incarnation(&mut self, id: &str, born: u64) -> Vec<ViewChange> {
-        let newer = self.lives.born(id).is_none_or(|known| born > known);
-        let Some(before) = self.listed.get(id).filter(|_| newer) else { return Vec::new() };
+        let newer = self.incarnations.born(id).is_none_or(|known| born > known);
+        let Some(before) = self.entries.get(id).filter(|_| newer) else { return Vec::new() };
         self.apply_backend(Backend {
             born: Some(born),
             draining: false,
@@ -323,10 +328,10 @@
         })
     }
 
-    /// One life of a server has said itself that it leaves; its entry need not say so, now or later.
+    /// Handles a server's own report that it is leaving; its entry need not say so, now or later.
     pub fn mark_draining(&mut self, id: &str, server: u32) -> Vec<ViewChange> {
         let meant = |known: &&Rc<Backend>| known.incarnation_hash() == server && !known.draining;
-        let Some(known) = self.listed.get(id).filter(meant) else { return Vec::new() };
+        let Some(known) = self.entries.get(id).filter(meant) else { return Vec::new() };
         self.apply_backend(Backend { draining: true, ..Backend::clone(known) })
     }
 
@@ -337,7 +342,7 @@
         version: u64,
     ) -> Option<ViewChange> {
         let is_newer = match self.versions.get_mut(&key) {
-            Some(names) => names.learn(version, learned_at),
+            Some(announced) => announced.learn(version, learned_at),
             None => {
                 self.versions.insert(key.clone(), AnnouncedVersions::new(version, learned_at));
                 true
--- a/crates/portrack/tests/gateway/daemons.rs
+++ b/crates/portrack/tests/gateway/daemons.rs
@@ -1,4 +1,4 @@
-//! Who does duties for others.
+//! Tests of the selection of daemons for tasks.
 
 use portrack::gateway::{Capabilities, DaemonInfo, Daemons};
 
@@ -11,11 +11,11 @@
     }
 }
 
-/// A daemon that was being stopped went on as the granter of a server that named a limit, for its own requests, while all
-/// others asked the next one.
+/// Guards against two granters for one server: a stopping daemon kept granting its own requests for
+/// a server with a limit, while all other daemons had moved on to the next granter.
 #[test]
-fn one_that_is_being_stopped_does_no_duty_while_others_can() {
-    let who = |stopping, others: &[u8]| {
+fn a_stopping_daemon_is_not_eligible_while_others_are() {
+    let eligible_daemons = |stopping, others: &[u8]| {
         let others = others.iter().map(|last| daemon(*last)).collect();
         let daemons = Daemons::eligible(daemon(1), stopping, others);
         let mut all: Vec<u8> = daemons
@@ -28,16 +28,16 @@
         all.sort();
         all
     };
-    assert_eq!(who(false, &[2, 3]), [1, 2, 3]);
-    assert_eq!(who(true, &[2, 3]), [2, 3]);
-    assert_eq!(who(true, &[]), [1], "alone it serves what it has");
+    assert_eq!(eligible_daemons(false, &[2, 3]), [1, 2, 3]);
+    assert_eq!(eligible_daemons(true, &[2, 3]), [2, 3]);
+    assert_eq!(eligible_daemons(true, &[]), [1], "the only daemon stays eligible");
 }
 
 #[test]
-fn who_keeps_limits_is_known_by_what_it_says() {
-    let former = DaemonInfo { capabilities: Capabilities::default(), ..daemon(2) };
-    let daemons = Daemons::eligible(daemon(1), false, vec![former.clone()]);
+fn enforcement_of_limits_is_known_from_capabilities() {
+    let older_build = DaemonInfo { capabilities: Capabilities::default(), ..daemon(2) };
+    let daemons = Daemons::eligible(daemon(1), false, vec![older_build.clone()]);
     assert!(daemons.enforces_limits(daemon(1).address));
-    assert!(!daemons.enforces_limits(former.address));
-    assert!(!daemons.enforces_limits(daemon(9).address), "unknown ones are not counted on");
+    assert!(!daemons.enforces_limits(older_build.address));
+    assert!(!daemons.enforces_limits(daemon(9).address), "unknown daemons are not relied on");
 }
--- a/crates/portrack/tests/gateway/lives.rs
+++ b/crates/portrack/tests/gateway/lives.rs
@@ -1,4 +1,5 @@
-//! Servers that start again under their id: what is known of the former life must not outlive it.
+//! Tests of servers that restart under the same id: state of an earlier incarnation must not affect
+//! the next one.
 
 use crate::support::{MODEL, backend, config, key, ms};
 use portrack::Time;
@@ -11,85 +12,86 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-fn life(id: &str, born: Option<u64>, orders_taken: u64, draining: bool) -> Backend {
+fn server_entry(id: &str, born: Option<u64>, orders_taken: u64, draining: bool) -> Backend {
     Backend { born, orders_taken, draining, ..backend(id, &[]) }
 }
 
-/// What happens to one server's entry.
+/// A change of one server's entry.
 #[derive(Debug, Clone)]
 enum Change {
     Entry { born: u64, orders_taken: u64, draining: bool },
-    Gone,
+    Removed,
 }
 
 fn change() -> impl Strategy<Value = Change> {
     let entry = (1_u64..5, 0_u64..4, any::<bool>())
         .prop_map(|(born, orders_taken, draining)| Change::Entry { born, orders_taken, draining });
-    prop_oneof![6 => entry, 1 => Just(Change::Gone)]
+    prop_oneof![6 => entry, 1 => Just(Change::Removed)]
 }
 
-/// All entries that counted, in plain words: the newest is the greatest by life and orders, and a life
-/// that ever said it is leaving is leaving.
+/// Reference model that keeps all accepted entries. The newest is the greatest by start time and
+/// order count, and an incarnation that ever reported leaving is leaving.
 #[derive(Default)]
-struct Plain {
-    taken: Vec<(u64, u64, bool)>,
+struct ReferenceModel {
+    accepted: Vec<(u64, u64, bool)>,
 }
 
-impl Plain {
-    fn take(&mut self, entry: (u64, u64, bool)) -> Option<bool> {
-        let newest = self.taken.iter().map(|(born, orders, _)| (*born, *orders)).max();
+impl ReferenceModel {
+    fn apply(&mut self, entry: (u64, u64, bool)) -> Option<bool> {
+        let newest = self.accepted.iter().map(|(born, orders, _)| (*born, *orders)).max();
         if newest.is_some_and(|newest| (entry.0, entry.1) < newest) {
             return None;
         }
-        self.taken.push(entry);
-        Some(self.taken.iter().any(|(born, _, draining)| *born == entry.0 && *draining))
+        self.accepted.push(entry);
+        Some(self.accepted.iter().any(|(born, _, draining)| *born == entry.0 && *draining))
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Entries late, doubled and out of order, the server gone and back: only what is not older counts.
+    /// Late, duplicated and reordered entries, and removals: only entries that are not stale count.
     #[test]
-    fn what_counts_is_what_a_plain_list_of_all_entries_says(
+    fn accepted_entries_match_the_reference_model(
         changes in proptest::collection::vec(change(), 1..60)
     ) {
-        let (mut lives, mut plain) = (ServerIncarnations::default(), Plain::default());
+        let (mut incarnations, mut reference) = (ServerIncarnations::default(), ReferenceModel::default());
         for change in changes {
             match change {
-                Change::Gone => lives.gone("s1"),
+                Change::Removed => incarnations.remove("s1"),
                 Change::Entry { born, orders_taken, draining } => {
-                    let mut entry = life("s1", Some(born), orders_taken, draining);
-                    let counted = lives.take(&mut entry) != EntryStatus::Stale;
-                    let expected = plain.take((born, orders_taken, draining));
-                    prop_assert_eq!(counted.then_some(entry.draining), expected);
+                    let mut entry = server_entry("s1", Some(born), orders_taken, draining);
+                    let is_accepted = incarnations.record(&mut entry) != EntryStatus::Stale;
+                    let expected = reference.apply((born, orders_taken, draining));
+                    prop_assert_eq!(is_accepted.then_some(entry.draining), expected);
                 }
             }
         }
     }
 
-    /// Late orders of the former life, as many as places are kept for, at any time and for any count: the
-    /// server never holds more than it has places for.
+    /// Late orders of the previous incarnation, as many as slots are reserved for, at any time and
+    /// with any order count: the server never holds more adapters than it has slots.
     #[test]
-    fn late_orders_never_fill_a_server_beyond_its_places(
+    fn late_orders_never_overfill_a_server(
         late in proptest::collection::vec(late_order(), 0..3),
-        wishes in proptest::collection::vec((0_u64..15_000, 0_usize..9), 0..60),
+        load_requests in proptest::collection::vec((0_u64..15_000, 0_usize..9), 0..60),
     ) {
-        let most = Reborn::new(late, wishes).play();
-        prop_assert!(most <= PLACES, "{} adapters in {} places", most, PLACES);
+        let most = RestartedServer::new(late, load_requests).run();
+        prop_assert!(most <= SLOTS, "{} adapters in {} slots", most, SLOTS);
     }
 }
 
-/// No order of the former life comes later than this after the new life was heard of: 12 s after it was
-/// sent, and a second more.
-const LAST_LATE: u64 = 13_000;
-/// Places of the server in these tests.
-const PLACES: usize = 5;
-/// Orders are carried out at most 12 s late; the planner expects them for 14 s, in milliseconds.
-const NONE_COMES_LATER: u64 = 14_000;
+/// No order of the previous incarnation arrives later than this after the new incarnation became
+/// known: 12 s after it was sent, plus one second. In milliseconds.
+const LATEST_ARRIVAL_MS: u64 = 13_000;
+/// Adapter slots of the server in these tests.
+const SLOTS: usize = 5;
+/// Orders are executed at most 12 s late; the planner allows for 14 s. In milliseconds.
+const ORDERS_EXPIRE_MS: u64 = 14_000;
 const NAMES: [&str; 12] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
 
-/// An order of the former life that is carried out when the time has come and the count fits.
+/// An order of the previous incarnation, executed when its time has come and its expected order
+/// count matches.
 #[derive(Debug, Clone)]
 struct LateOrder {
     at: u64,
@@ -102,94 +104,96 @@
     parts.prop_map(|(at, expected, adapter)| LateOrder { at, expected, adapter })
 }
 
-/// A server in its second life, with the planner that orders it.
-struct Reborn {
+/// A server in its second incarnation, with the planner that sends it orders.
+struct RestartedServer {
     late: Vec<LateOrder>,
-    wishes: Vec<(u64, usize)>,
+    load_requests: Vec<(u64, usize)>,
     planner: Planner,
     server: Rc<str>,
     held: BTreeSet<&'static str>,
-    based: bool,
+    has_base: bool,
     count: u64,
-    believed: Option<u64>,
+    assumed_count: Option<u64>,
 }
 
-impl Reborn {
-    fn new(late: Vec<LateOrder>, wishes: Vec<(u64, usize)>) -> Self {
+impl RestartedServer {
+    fn new(late: Vec<LateOrder>, load_requests: Vec<(u64, usize)>) -> Self {
         let mut planner = Planner::default();
-        planner.set_config(Time(0), config(PLACES, 3.0));
-        planner.update_server(Time(0), &life("s1", Some(1), 40, false));
+        planner.set_config(Time(0), config(SLOTS, 3.0));
+        planner.update_server(Time(0), &server_entry("s1", Some(1), 40, false));
         planner.server_restarted(Time(0), &"s1".into());
         planner.update_server(
             Time(0),
-            &Backend { models: Vec::new(), ..life("s1", Some(2), 0, false) },
+            &Backend { models: Vec::new(), ..server_entry("s1", Some(2), 0, false) },
         );
         Self {
             late,
-            wishes,
+            load_requests,
             planner,
             server: "s1".into(),
             held: BTreeSet::new(),
-            based: false,
+            has_base: false,
             count: 0,
-            believed: None,
+            assumed_count: None,
         }
     }
 
-    /// Plays fifteen seconds; returns the most adapters that were held.
-    fn play(mut self) -> usize {
+    /// Simulates fifteen seconds. Returns the largest number of adapters held at once.
+    fn run(mut self) -> usize {
         let mut most = 0;
         for now in (0..15_000).step_by(50) {
-            self.arrive(now);
+            self.execute_late_orders(now);
             most = most.max(self.held.len());
             let due: Vec<usize> = self
-                .wishes
+                .load_requests
                 .iter()
                 .filter(|(at, _)| at / 50 == now / 50)
-                .map(|wish| wish.1)
+                .map(|load_request| load_request.1)
                 .collect();
-            for wish in due {
-                self.planner.request_load(Time(now), &self.server, &key(NAMES[wish]), 1, 1);
+            for load_request in due {
+                self.planner.request_load(Time(now), &self.server, &key(NAMES[load_request]), 1, 1);
             }
-            self.order(now);
+            self.send_orders(now);
             most = most.max(self.held.len());
         }
         most
     }
 
-    /// Carries late orders out; one that does not fit yet is tried again, as if it came later, until none
-    /// can come any more.
-    fn arrive(&mut self, now: u64) {
-        if now > LAST_LATE {
+    /// Executes late orders that are due. One whose count does not match is tried again, as if it
+    /// arrived later, until none can arrive any more.
+    fn execute_late_orders(&mut self, now: u64) {
+        if now > LATEST_ARRIVAL_MS {
             return;
         }
         let due = |late: &LateOrder, count: u64| {
-            (late.at..NONE_COMES_LATER).contains(&now) && late.expected == count
+            (late.at..ORDERS_EXPIRE_MS).contains(&now) && late.expected == count
         };
-        while let Some(at) = self.late.iter().position(|late| due(late, self.count) && self.based) {
+        while let Some(at) =
+            self.late.iter().position(|late| due(late, self.count) && self.has_base)
+        {
             let late = self.late.remove(at);
             self.held.insert(NAMES[late.adapter]);
             self.count += 1;
         }
     }
 
-    fn order(&mut self, now: u64) {
+    fn send_orders(&mut self, now: u64) {
         let ours = std::slice::from_ref(&self.server).to_vec();
         if !self.planner.needing_survey(&ours).is_empty() {
-            self.believed = Some(self.count);
+            self.assumed_count = Some(self.count);
             self.planner.reported(Time(now), "s1", &self.report());
         }
         for plan in self.planner.plan(Time(now), &ours).0 {
-            let end = self.carry_out(&plan);
+            let end = self.execute(&plan);
             self.planner.ended(Time(now), &plan, end, Some(ms(20)));
             if end == PlanOutcome::Busy {
                 self.planner.invalidate_survey("s1");
             }
-            if self.based {
-                let entry = life("s1", Some(2), self.count, false);
+            if self.has_base {
+                let entry = server_entry("s1", Some(2), self.count, false);
                 self.planner.update_server(Time(now), &entry);
             }
-            self.arrive(now);
+            self.execute_late_orders(now);
         }
     }
 
@@ -197,136 +201,156 @@
         ServerReport {
             born: Some(2),
             orders_taken: self.count,
-            models: self.based.then(|| MODEL.into()).into_iter().collect(),
+            models: self.has_base.then(|| MODEL.into()).into_iter().collect(),
             held: self.held.iter().map(|name| (key(name), 1)).collect(),
             ..ServerReport::default()
         }
     }
 
-    fn carry_out(&mut self, plan: &Plan) -> PlanOutcome {
-        if let Some(victim) = &plan.evict {
-            if !self.takes() {
+    fn execute(&mut self, plan: &Plan) -> PlanOutcome {
+        if let Some(evicted_adapter) = &plan.evict {
+            if !self.accepts_order() {
                 return PlanOutcome::Busy;
             }
-            self.held.remove(&*victim.adapter);
-            self.planner.evicted("s1", victim);
+            self.held.remove(&*evicted_adapter.adapter);
+            self.planner.evicted("s1", evicted_adapter);
         }
-        if !self.takes() {
+        if !self.accepts_order() {
             return PlanOutcome::Busy;
         }
         match &plan.load {
-            PlannedLoad::Base(_) => self.based = true,
+            PlannedLoad::Base(_) => self.has_base = true,
             PlannedLoad::Adapter(wanted, _) => {
                 let name = NAMES.into_iter().find(|name| **name == *wanted.adapter);
-                self.held.insert(name.expect("one of them"));
+                self.held.insert(name.expect("a known adapter"));
             }
         }
         PlanOutcome::Done
     }
 
-    /// Takes one order if its sender knows how many were taken.
-    fn takes(&mut self) -> bool {
-        if self.believed != Some(self.count) {
+    /// Accepts an order if its sender knows the current order count.
+    fn accepts_order(&mut self) -> bool {
+        if self.assumed_count != Some(self.count) {
             return false;
         }
         self.count += 1;
-        self.believed = Some(self.count);
+        self.assumed_count = Some(self.count);
         true
     }
 }
 
 #[test]
-fn a_later_life_replaces_all_and_a_former_one_nothing() {
-    let mut lives = ServerIncarnations::default();
-    assert_eq!(lives.take(&mut life("s1", Some(10), 7, true)), EntryStatus::First);
-    let mut again = life("s1", Some(20), 0, false);
-    assert_eq!(lives.take(&mut again), EntryStatus::Restarted { before: Some(10) });
-    assert!(!again.draining, "that the former life was leaving says nothing of this one");
-    assert_eq!(lives.take(&mut life("s1", Some(10), 9, false)), EntryStatus::Stale);
-    assert_eq!(lives.take(&mut life("s1", None, 9, false)), EntryStatus::Stale);
-    lives.gone("s1");
+fn a_later_incarnation_replaces_all_state_and_an_earlier_one_is_stale() {
+    let mut incarnations = ServerIncarnations::default();
+    assert_eq!(incarnations.record(&mut server_entry("s1", Some(10), 7, true)), EntryStatus::First);
+    let mut restarted = server_entry("s1", Some(20), 0, false);
+    assert_eq!(incarnations.record(&mut restarted), EntryStatus::Restarted { before: Some(10) });
+    assert!(!restarted.draining, "the leaving state belongs to the previous incarnation");
     assert_eq!(
-        lives.take(&mut life("s1", Some(10), 9, false)),
+        incarnations.record(&mut server_entry("s1", Some(10), 9, false)),
+        EntryStatus::Stale
+    );
+    assert_eq!(incarnations.record(&mut server_entry("s1", None, 9, false)), EntryStatus::Stale);
+    incarnations.remove("s1");
+    assert_eq!(
+        incarnations.record(&mut server_entry("s1", Some(10), 9, false)),
         EntryStatus::Stale,
-        "also when gone"
+        "also after its removal"
     );
-    assert_eq!(lives.take(&mut life("s1", Some(20), 0, false)), EntryStatus::Same);
+    assert_eq!(incarnations.record(&mut server_entry("s1", Some(20), 0, false)), EntryStatus::Same);
 }
 
 #[test]
-fn servers_that_do_not_tell_their_lives_have_one_an_id() {
-    let mut lives = ServerIncarnations::default();
-    lives.take(&mut life("s1", None, 7, true));
-    let mut entry = life("s1", None, 3, false);
-    assert_eq!(lives.take(&mut entry), EntryStatus::Same);
+fn servers_without_start_times_have_one_incarnation_per_id() {
+    let mut incarnations = ServerIncarnations::default();
+    incarnations.record(&mut server_entry("s1", None, 7, true));
+    let mut entry = server_entry("s1", None, 3, false);
+    assert_eq!(incarnations.record(&mut entry), EntryStatus::Same);
     assert!(entry.draining);
-    lives.take(&mut life("s2", None, 7, false));
-    lives.gone("s2");
-    assert_eq!(lives.len(), 1, "nothing is to be remembered of one that took work");
+    incarnations.record(&mut server_entry("s2", None, 7, false));
+    incarnations.remove("s2");
+    assert_eq!(incarnations.len(), 1, "a removed server that accepted work is not remembered");
 }
 
-/// A server that does not tell its lives apart said that it leaves; its entry lapsed while it lived, and came back.
+/// Guards against a leaving server coming back into use: its entry, which has no start time, lapsed
+/// while the server was alive and came back without the leaving state.
 #[test]
-fn a_server_that_leaves_stays_so_when_its_entry_comes_back() {
-    let mut lives = ServerIncarnations::default();
-    lives.take(&mut life("s1", None, 3, true));
-    lives.gone("s1");
-    let mut back = life("s1", None, 3, false);
-    assert_eq!(lives.take(&mut back), EntryStatus::Same);
-    assert!(back.draining);
-    let mut another = life("s2", None, 0, false);
-    lives.take(&mut another);
-    assert!(!another.draining, "another id is another life");
-    lives.take(&mut life("s3", Some(1), 0, true));
-    lives.gone("s3");
-    let mut born_again = life("s3", Some(2), 0, false);
-    lives.take(&mut born_again);
-    assert!(!born_again.draining, "a later life takes work");
+fn a_leaving_server_stays_leaving_when_its_entry_comes_back() {
+    let mut incarnations = ServerIncarnations::default();
+    incarnations.record(&mut server_entry("s1", None, 3, true));
+    incarnations.remove("s1");
+    let mut returned = server_entry("s1", None, 3, false);
+    assert_eq!(incarnations.record(&mut returned), EntryStatus::Same);
+    assert!(returned.draining);
+    let mut other_server = server_entry("s2", None, 0, false);
+    incarnations.record(&mut other_server);
+    assert!(!other_server.draining, "another id is another incarnation");
+    incarnations.record(&mut server_entry("s3", Some(1), 0, true));
+    incarnations.remove("s3");
+    let mut restarted_server = server_entry("s3", Some(2), 0, false);
+    incarnations.record(&mut restarted_server);
+    assert!(!restarted_server.draining, "a later incarnation accepts work");
 }
 
 #[test]
-fn of_servers_that_are_gone_only_so_many_are_remembered() {
-    let mut lives = ServerIncarnations::default();
+fn the_number_of_remembered_removed_servers_is_bounded() {
+    let mut incarnations = ServerIncarnations::default();
     for n in 0..2 * MAX_REMOVED_INCARNATIONS {
         let id = format!("s{n}");
-        lives.take(&mut life(&id, Some(1), 0, false));
-        lives.gone(&id);
-        lives.gone(&id);
+        incarnations.record(&mut server_entry(&id, Some(1), 0, false));
+        incarnations.remove(&id);
+        incarnations.remove(&id);
     }
     for n in 0..2 * MAX_REMOVED_INCARNATIONS {
         let id = format!("leaving{n}");
-        lives.take(&mut life(&id, None, 0, true));
-        lives.gone(&id);
+        incarnations.record(&mut server_entry(&id, None, 0, true));
+        incarnations.remove(&id);
     }
-    assert!(lives.len() <= MAX_REMOVED_INCARNATIONS);
-    lives.take(&mut life(&format!("s{}", 2 * MAX_REMOVED_INCARNATIONS - 1), Some(1), 0, false));
+    assert!(incarnations.len() <= MAX_REMOVED_INCARNATIONS);
+    incarnations.record(&mut server_entry(
+        &format!("s{}", 2 * MAX_REMOVED_INCARNATIONS - 1),
+        Some(1),
+        0,
+        false,
+    ));
     let last = format!("s{}", 2 * MAX_REMOVED_INCARNATIONS - 1);
-    assert_eq!(lives.take(&mut life(&last, Some(0), 0, false)), EntryStatus::Stale);
+    assert_eq!(
+        incarnations.record(&mut server_entry(&last, Some(0), 0, false)),
+        EntryStatus::Stale
+    );
 }
 
 #[test]
-fn a_new_life_begins_idle_and_sound() {
+fn a_new_incarnation_starts_without_load_or_failures() {
     let loads = Rc::new(LoadTable::default());
     let id: Rc<str> = "s1".into();
-    let (former, present) = (life("s1", Some(1), 0, false), life("s1", Some(2), 0, false));
-    loads.set_incarnation(&id, former.incarnation_hash());
+    let (previous, current) =
+        (server_entry("s1", Some(1), 0, false), server_entry("s1", Some(2), 0, false));
+    loads.set_incarnation(&id, previous.incarnation_hash());
     let guard = loads.begin(Time(0), &id, 100);
     loads.unreachable(Time(0), &id);
-    loads.record_reports(Time(0), &[ServerLoad { server: former.incarnation_hash(), requests: 9 }]);
-    loads.set_incarnation(&id, present.incarnation_hash());
+    loads.record_reports(
+        Time(0),
+        &[ServerLoad { server: previous.incarnation_hash(), requests: 9 }],
+    );
+    loads.set_incarnation(&id, current.incarnation_hash());
     assert_eq!(loads.work(Time(10), "s1"), OutstandingWork::default());
     assert!(!loads.is_unreachable(Time(10), "s1") && loads.failure_rate(Time(10), "s1") == 0.0);
     let _own = loads.begin(Time(20), &id, 5);
     drop(guard);
-    assert_eq!(loads.work(Time(30), "s1").requests, 1, "the former life's request was another one");
-    loads.record_outcome_of(Time(40), &former, true);
+    assert_eq!(
+        loads.work(Time(30), "s1").requests,
+        1,
+        "the request of the previous incarnation does not count"
+    );
+    loads.record_outcome_of(Time(40), &previous, true);
     assert_eq!(loads.failure_rate(Time(40), "s1"), 0.0);
-    loads.record_outcome_of(Time(40), &present, true);
+    loads.record_outcome_of(Time(40), &current, true);
     assert!(loads.failure_rate(Time(40), "s1") > 0.0);
 }
 
 #[test]
-fn what_is_told_late_of_a_former_life_fits_no_server() {
+fn late_reports_about_an_earlier_incarnation_are_ignored() {
     let loads = Rc::new(LoadTable::default());
     loads.set_incarnation(&"s1".into(), incarnation_hash("s1", Some(2)));
     let work = OutstandingWork { requests: 7, waiting_tokens: 70 };
@@ -339,18 +363,18 @@
 }
 
 #[test]
-fn a_new_life_holds_nothing_of_the_former_one() {
-    let mut holdings = AdapterLocations::default();
-    holdings.list(None, Some(&backend("s1", &[("a1", 1)])));
-    holdings.notice(&key("a2"), &"s1".into(), Presence::Held(1), Time(4_000));
-    holdings.notice(&key("a2"), &"s2".into(), Presence::Held(1), Time(4_000));
-    holdings.server_restarted("s1");
-    assert!(holdings.holders(Time(10), &key("a1")).is_empty());
-    assert_eq!(holdings.holders(Time(10), &key("a2")), [("s2".into(), 1)]);
-    assert!(!holdings.is_cached(&key("a1"), "s1", 1));
+fn a_new_incarnation_holds_no_adapters_of_the_previous_one() {
+    let mut locations = AdapterLocations::default();
+    locations.list(None, Some(&backend("s1", &[("a1", 1)])));
+    locations.notice(&key("a2"), &"s1".into(), Presence::Held(1), Time(4_000));
+    locations.notice(&key("a2"), &"s2".into(), Presence::Held(1), Time(4_000));
+    locations.server_restarted("s1");
+    assert!(locations.holders(Time(10), &key("a1")).is_empty());
+    assert_eq!(locations.holders(Time(10), &key("a2")), [("s2".into(), 1)]);
+    assert!(!locations.is_cached(&key("a1"), "s1", 1));
 }
 
-/// A planner before a server in its first life that holds `held`, surveyed.
+/// A planner with a surveyed server in its first incarnation that holds `held`.
 fn planner(held: &[(&str, u64)]) -> (Planner, Rc<str>) {
     let mut planner = Planner::default();
     planner.set_config(Time(0), config(4, 3.0));
@@ -364,23 +388,23 @@
     ServerReport { born: Some(born), models: vec![MODEL.into()], held, ..ServerReport::default() }
 }
 
-fn born_again(planner: &mut Planner, now: u64, server: &Rc<str>) {
+fn restart(planner: &mut Planner, now: u64, server: &Rc<str>) {
     planner.server_restarted(Time(now), server);
     planner.update_server(Time(now), &Backend { born: Some(2), ..backend("s1", &[]) });
 }
 
-fn begun(planner: &mut Planner, now: u64, server: &Rc<str>, adapter: &str) -> Vec<Plan> {
+fn start_loads(planner: &mut Planner, now: u64, server: &Rc<str>, adapter: &str) -> Vec<Plan> {
     planner.request_load(Time(now), server, &key(adapter), 1, 1);
     planner.plan(Time(now), std::slice::from_ref(server)).0
 }
 
 #[test]
-fn a_new_life_is_asked_what_it_holds_before_it_is_ordered() {
+fn a_new_incarnation_is_surveyed_before_it_gets_orders() {
     let (mut planner, server) = planner(&[("a1", 1)]);
-    born_again(&mut planner, 100, &server);
-    assert!(begun(&mut planner, 110, &server, "a2").is_empty());
+    restart(&mut planner, 100, &server);
+    assert!(start_loads(&mut planner, 110, &server, "a2").is_empty());
     planner.reported(Time(120), "s1", &report(2, Vec::new()));
-    assert_eq!(begun(&mut planner, 130, &server, "a2").len(), 1);
+    assert_eq!(start_loads(&mut planner, 130, &server, "a2").len(), 1);
     assert_ne!(
         planner.request_load(Time(140), &server, &key("a1"), 1, 1),
         LoadRequestAnswer::Held(1)
@@ -388,12 +412,12 @@
 }
 
 #[test]
-fn the_end_of_a_step_of_the_former_life_changes_nothing() {
+fn the_outcome_of_a_step_of_the_previous_incarnation_is_ignored() {
     let (mut planner, server) = planner(&[]);
-    let former = begun(&mut planner, 10, &server, "a1").remove(0);
-    born_again(&mut planner, 100, &server);
+    let previous = start_loads(&mut planner, 10, &server, "a1").remove(0);
+    restart(&mut planner, 100, &server);
     planner.reported(Time(110), "s1", &report(2, Vec::new()));
-    planner.ended(Time(120), &former, PlanOutcome::Done, Some(ms(100)));
+    planner.ended(Time(120), &previous, PlanOutcome::Done, Some(ms(100)));
     assert_ne!(
         planner.request_load(Time(130), &server, &key("a1"), 1, 1),
         LoadRequestAnswer::Held(1)
@@ -401,14 +425,14 @@
 }
 
 #[test]
-fn places_are_kept_for_late_orders_and_used_when_none_can_come_any_more() {
+fn slots_are_reserved_for_late_orders_until_none_can_arrive() {
     let (mut planner, server) = planner(&[]);
-    born_again(&mut planner, 100, &server);
+    restart(&mut planner, 100, &server);
     planner.reported(Time(110), "s1", &report(2, Vec::new()));
     let mut loaded = BTreeMap::new();
     for (n, adapter) in ["a1", "a2", "a3"].into_iter().enumerate() {
         let now = 1_000 + 500 * n as u64;
-        for plan in begun(&mut planner, now, &server, adapter) {
+        for plan in start_loads(&mut planner, now, &server, adapter) {
             planner.ended(Time(now + 100), &plan, PlanOutcome::Done, Some(ms(100)));
             loaded.insert(adapter, plan.evict.is_some());
         }
@@ -418,31 +442,31 @@
         [("a1", false), ("a2", false), ("a3", true)]
     );
     planner.reported(Time(17_000), "s1", &report(2, vec![(key("a2"), 1), (key("a3"), 1)]));
-    let plan = begun(&mut planner, 17_010, &server, "a4").remove(0);
-    assert_eq!(plan.evict, None, "the whole room again");
+    let plan = start_loads(&mut planner, 17_010, &server, "a4").remove(0);
+    assert_eq!(plan.evict, None, "all slots are available again");
 }
 
-/// An unload of the former life that comes late would drop the adapter from under its requests.
+/// A late unload from the previous incarnation would remove the adapter while requests use it.
 #[test]
-fn an_adapter_whose_unload_may_come_late_is_not_loaded_again_yet() {
+fn an_adapter_with_a_possible_late_unload_is_not_loaded() {
     let (mut planner, server) = planner(&[("a1", 1)]);
     planner.unload_unanswered(Time(50), &server, &key("a1"));
-    born_again(&mut planner, 100, &server);
+    restart(&mut planner, 100, &server);
     planner.reported(Time(110), "s1", &report(2, Vec::new()));
     assert_eq!(
         planner.request_load(Time(120), &server, &key("a1"), 1, 1),
         LoadRequestAnswer::Refused
     );
-    assert_eq!(begun(&mut planner, 130, &server, "a2").len(), 1);
+    assert_eq!(start_loads(&mut planner, 130, &server, "a2").len(), 1);
     planner.reported(Time(17_000), "s1", &report(2, Vec::new()));
-    assert_eq!(begun(&mut planner, 17_010, &server, "a1").len(), 1);
+    assert_eq!(start_loads(&mut planner, 17_010, &server, "a1").len(), 1);
 }
 
 #[test]
-fn a_server_is_asked_again_while_late_orders_may_come() {
+fn a_server_is_surveyed_again_while_late_orders_may_arrive() {
     let (mut planner, server) = planner(&[]);
     let ours = [server.clone()];
-    born_again(&mut planner, 100, &server);
+    restart(&mut planner, 100, &server);
     let mut surveys = Vec::new();
     for now in (200..30_000).step_by(100) {
         planner.plan(Time(now), &ours);
--- a/crates/portrack/tests/gateway/messages.rs
+++ b/crates/portrack/tests/gateway/messages.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons.
+//! Tests of the encoding of datagrams between daemons.
 
 use portrack::gateway::{
     Capabilities, EraReport, Heartbeat, MAX_DATAGRAM, NoticeState, PeerMessage, PlacementNotice,
@@ -19,15 +19,15 @@
     PeerMessage::Heartbeat(Heartbeat {
         node: "front-sala-centro-1".into(),
         hall: "sala-centro".into(),
-        address: "10.1.0.38:7380".parse().expect("an address"),
+        address: "10.1.0.38:7380".parse().expect("a valid address"),
         incarnation: 1_772_255_030_017,
         revision: 9_999_999,
         leaving: false,
         sees_store: true,
         watches: true,
         orders: (0..servers.min(20)).collect(),
-        work: (0..servers).map(|mark| (mark | 0xff00_0000, Default::default())).collect(),
-        known: vec!["10.1.0.39:7380".parse().expect("an address"); 8],
+        work: (0..servers).map(|hash| (hash | 0xff00_0000, Default::default())).collect(),
+        known: vec!["10.1.0.39:7380".parse().expect("a valid address"); 8],
         heard: 3,
         capacity: 100,
         news: (1..=5).map(news).collect(),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were() {
+fn messages_survive_encoding_and_decoding() {
     let notice = PlacementNotice {
         server: "i-1".into(),
         model: "m".into(),
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn a_message_that_does_not_fit_is_not_sent() {
+fn a_message_that_is_too_long_is_not_encoded() {
     assert!(encode_message(&heartbeat(140)).is_some(), "140 busy servers fit");
     assert!(encode_message(&heartbeat(1_000)).is_none());
 }
 
 #[test]
-fn other_versions_and_foreign_bytes_are_dropped() {
+fn other_versions_and_invalid_bytes_are_rejected() {
     let mut bytes = encode_message(&heartbeat(3)).expect("short enough");
     bytes[0] = 9;
     assert_eq!(decode_message(&bytes), None);
--- a/crates/portrack/tests/gateway/peers.rs
+++ b/crates/portrack/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Who is there.
+//! Tests of the peer table: which daemons are up, and where datagrams go.
 
 use portrack::Time;
 use portrack::gateway::{
@@ -10,7 +10,7 @@
     SocketAddr::from(([10, 0, 0, last], 7_000))
 }
 
-fn beat(last: u8, incarnation: u64) -> Heartbeat {
+fn heartbeat_of(last: u8, incarnation: u64) -> Heartbeat {
     Heartbeat {
         node: format!("n{last}"),
         hall: "a".into(),
@@ -36,54 +36,54 @@
 }
 
 #[test]
-fn seeds_are_asked_first_and_hearsay_next() {
+fn heartbeats_go_to_seeds_first_and_then_to_learned_addresses() {
     let mut peers = peers();
     assert_eq!(peers.targets(Time(0)), [address(2)]);
-    assert_eq!(peers.on_heartbeat(Time(10), beat(3, 1)), Some(PeerChange::Up));
+    assert_eq!(peers.on_heartbeat(Time(10), heartbeat_of(3, 1)), Some(PeerChange::Up));
     let targets = peers.targets(Time(20));
     assert!(targets.contains(&address(3)) && targets.contains(&address(103)), "{targets:?}");
 }
 
 #[test]
-fn a_daemon_that_was_only_heard_of_is_greeted_more_than_once() {
+fn a_candidate_gets_several_heartbeats() {
     let mut peers = peers();
     peers.add_candidate(address(9));
-    let greeted = (0..10).filter(|_| peers.targets(Time(0)).contains(&address(9))).count();
-    assert_eq!(greeted, 4, "one datagram may be lost");
+    let contacted = (0..10).filter(|_| peers.targets(Time(0)).contains(&address(9))).count();
+    assert_eq!(contacted, 4, "datagrams may be lost");
 }
 
 #[test]
 fn a_daemon_does_not_count_itself() {
     let mut peers = peers();
-    assert_eq!(peers.on_heartbeat(Time(10), beat(1, 1)), None);
+    assert_eq!(peers.on_heartbeat(Time(10), heartbeat_of(1, 1)), None);
     assert_eq!(peers.up(Time(10)).count(), 0);
 }
 
-/// It has forgotten what the others told it, and must be told again.
+/// A restarted daemon has lost what the others sent it, so it must be sent again.
 #[test]
-fn a_daemon_that_started_again_before_it_was_missed_comes_up_anew() {
+fn a_restart_without_a_gap_counts_as_coming_up() {
     let mut peers = peers();
-    assert_eq!(peers.on_heartbeat(Time(10), beat(3, 1)), Some(PeerChange::Up));
-    assert_eq!(peers.on_heartbeat(Time(300), beat(3, 1)), None);
-    assert_eq!(peers.on_heartbeat(Time(600), beat(3, 2)), Some(PeerChange::Up));
-    assert_eq!(peers.on_heartbeat(Time(900), beat(3, 2)), None);
+    assert_eq!(peers.on_heartbeat(Time(10), heartbeat_of(3, 1)), Some(PeerChange::Up));
+    assert_eq!(peers.on_heartbeat(Time(300), heartbeat_of(3, 1)), None);
+    assert_eq!(peers.on_heartbeat(Time(600), heartbeat_of(3, 2)), Some(PeerChange::Up));
+    assert_eq!(peers.on_heartbeat(Time(900), heartbeat_of(3, 2)), None);
 }
 
 #[test]
-fn an_earlier_life_is_not_believed() {
+fn heartbeats_of_an_earlier_incarnation_are_ignored() {
     let mut peers = peers();
-    peers.on_heartbeat(Time(10), beat(3, 5));
-    let mut old = beat(3, 4);
-    old.orders = vec![77];
-    peers.on_heartbeat(Time(20), old);
+    peers.on_heartbeat(Time(10), heartbeat_of(3, 5));
+    let mut earlier = heartbeat_of(3, 4);
+    earlier.orders = vec![77];
+    peers.on_heartbeat(Time(20), earlier);
     assert!(peers.orderer(Time(30), 77).is_none());
     assert!(peers.orderer(Time(30), 3).is_some());
 }
 
 #[test]
-fn what_a_silent_daemon_said_of_its_orders_is_soon_not_believed() {
+fn claims_of_a_silent_daemon_expire() {
     let mut peers = peers();
-    peers.on_heartbeat(Time(10), beat(3, 1));
+    peers.on_heartbeat(Time(10), heartbeat_of(3, 1));
     assert!(peers.orderer(Time(1_300), 3).is_some());
     assert!(peers.orderer(Time(1_500), 3).is_none());
     assert_eq!(peers.up(Time(1_500)).count(), 1);
@@ -91,35 +91,35 @@
 }
 
 #[test]
-fn the_best_informed_daemon_is_asked() {
+fn the_most_up_to_date_daemon_is_selected() {
     let mut peers = peers();
-    peers.on_heartbeat(Time(10), beat(3, 1));
-    peers.on_heartbeat(Time(10), beat(5, 1));
+    peers.on_heartbeat(Time(10), heartbeat_of(3, 1));
+    peers.on_heartbeat(Time(10), heartbeat_of(5, 1));
     assert_eq!(peers.most_up_to_date(Time(20), &EraTracker::default(), 2), Some(address(5)));
     assert_eq!(peers.most_up_to_date(Time(20), &EraTracker::default(), 5), None);
 }
 
 #[test]
-fn those_that_leave_or_see_no_store_do_not_claim() {
+fn leaving_and_disconnected_daemons_are_not_claimants() {
     let mut peers = peers();
-    let mut blind = beat(3, 1);
-    blind.sees_store = false;
-    let mut leaving = beat(4, 1);
+    let mut disconnected = heartbeat_of(3, 1);
+    disconnected.sees_store = false;
+    let mut leaving = heartbeat_of(4, 1);
     leaving.leaving = true;
-    peers.on_heartbeat(Time(10), blind);
+    peers.on_heartbeat(Time(10), disconnected);
     assert_eq!(peers.on_heartbeat(Time(10), leaving), Some(PeerChange::Leaving));
-    peers.on_heartbeat(Time(10), beat(5, 1));
-    let able: Vec<String> =
+    peers.on_heartbeat(Time(10), heartbeat_of(5, 1));
+    let claimants: Vec<String> =
         peers.claimants_by_hall(Time(20), "a").0.iter().map(|n| n.to_string()).collect();
-    assert_eq!(able, ["n5"]);
+    assert_eq!(claimants, ["n5"]);
     assert!(peers.claimants_by_hall(Time(20), "b").0.is_empty());
 }
 
 #[test]
-fn in_a_large_fleet_a_heartbeat_goes_to_some_in_turn() {
+fn in_a_large_fleet_heartbeats_go_round_robin() {
     let mut peers = peers();
     for last in 10..60 {
-        peers.on_heartbeat(Time(10), beat(last, 1));
+        peers.on_heartbeat(Time(10), heartbeat_of(last, 1));
     }
     let mut reached = std::collections::BTreeSet::new();
     for _ in 0..8 {
@@ -127,54 +127,57 @@
         assert!(targets.len() <= 30, "{}", targets.len());
         reached.extend(targets);
     }
-    assert!((10..60).all(|last| reached.contains(&address(last))), "all are reached in 8 rounds");
+    assert!(
+        (10..60).all(|last| reached.contains(&address(last))),
+        "every daemon is reached within 8 heartbeats"
+    );
 }
 
 #[test]
-fn in_a_large_fleet_daemons_are_believed_until_their_turn_comes_again() {
+fn in_a_large_fleet_timeouts_grow_with_the_round() {
     let mut peers = peers();
     for last in 10..130 {
-        peers.on_heartbeat(Time(0), beat(last, 1));
+        peers.on_heartbeat(Time(0), heartbeat_of(last, 1));
     }
     let round = 120 / 12 * 300;
-    assert!(peers.orderer(Time(2 * round), 50).is_some(), "two turns may be lost");
+    assert!(peers.orderer(Time(2 * round), 50).is_some(), "two rounds may be lost");
     assert!(peers.orderer(Time(3 * round), 50).is_none());
     assert_eq!(peers.up(Time(4 * round)).count(), 120);
     assert_eq!(peers.up(Time(5 * round)).count(), 0);
 }
 
 #[test]
-fn a_daemon_that_knows_few_others_is_told_of_more_each_time() {
+fn a_new_peer_gets_different_addresses_each_time() {
     let mut peers = peers();
     for last in 10..130 {
-        peers.on_heartbeat(Time(0), beat(last, 1));
+        peers.on_heartbeat(Time(0), heartbeat_of(last, 1));
     }
-    assert!(peers.addresses_for_new_peer(Time(10), 60).is_empty(), "it knows half of them");
+    assert!(peers.addresses_for_new_peer(Time(10), 60).is_empty(), "it knows half of the others");
     let first = peers.addresses_for_new_peer(Time(10), 2);
     let second = peers.addresses_for_new_peer(Time(10), 2);
     assert_eq!((first.len(), second.len()), (64, 64));
-    let told: std::collections::BTreeSet<_> = first.into_iter().chain(second).collect();
-    assert_eq!(told.len(), 120, "all within two answers");
+    let sent: std::collections::BTreeSet<_> = first.into_iter().chain(second).collect();
+    assert_eq!(sent.len(), 120, "all addresses are sent within two replies");
 }
 
 #[test]
-fn daemons_that_were_only_heard_of_are_greeted_some_at_a_time() {
+fn candidates_are_contacted_in_batches() {
     let mut peers = peers();
     (20..140).for_each(|last| peers.add_candidate(address(last)));
-    let mut greeted = std::collections::BTreeSet::new();
+    let mut contacted = std::collections::BTreeSet::new();
     for _ in 0..8 {
         let targets = peers.targets(Time(0));
         assert!(targets.len() <= 30, "{}", targets.len());
-        greeted.extend(targets);
+        contacted.extend(targets);
     }
-    assert!((20..140).all(|last| greeted.contains(&address(last))));
+    assert!((20..140).all(|last| contacted.contains(&address(last))));
 }
 
 #[test]
-fn the_best_suited_daemons_of_a_hall_work_for_the_others_and_get_the_notices() {
+fn the_daemons_with_the_highest_capacity_come_first_and_get_the_notices() {
     let mut peers = peers();
     for last in 10..60 {
-        let mut small = beat(last, 1);
+        let mut small = heartbeat_of(last, 1);
         small.capacity = if last % 10 == 0 { 1_000 } else { 10 };
         peers.on_heartbeat(Time(0), small);
     }
@@ -188,7 +191,7 @@
         })
         .collect();
     assert!(first.iter().all(|last| last % 10 == 0), "{first:?}");
-    assert_eq!(order[5], address(1), "then this one, of middle size");
+    assert_eq!(order[5], address(1), "then this one, of medium capacity");
     assert_eq!(peers.notice_targets(Time(10)), order[..3]);
 }
 
@@ -196,98 +199,113 @@
 fn in_a_small_fleet_all_get_the_notices() {
     let mut peers = peers();
     for last in 10..34 {
-        peers.on_heartbeat(Time(0), beat(last, 1));
+        peers.on_heartbeat(Time(0), heartbeat_of(last, 1));
     }
     assert_eq!(peers.notice_targets(Time(10)).len(), 24);
 }
 
-fn heard_in(peers: &mut Peers, now: u64, last: u8, hall: &str) {
-    let mut heartbeat = beat(last, 1);
+fn receive_from_hall(peers: &mut Peers, now: u64, last: u8, hall: &str) {
+    let mut heartbeat = heartbeat_of(last, 1);
     heartbeat.hall = hall.into();
     peers.on_heartbeat(Time(now), heartbeat);
 }
 
-/// Two daemons of each of two halls, heard at 0, and one of a third.
+/// Halls a and b with two daemons each and hall c with one, all heard from at time 0.
 fn two_halls() -> Peers {
     let mut peers = peers();
     for (last, hall) in [(2, "a"), (6, "a"), (3, "b"), (4, "b"), (5, "c")] {
-        heard_in(&mut peers, 0, last, hall);
+        receive_from_hall(&mut peers, 0, last, hall);
     }
     peers
 }
 
 #[test]
-fn a_hall_of_which_nothing_is_heard_is_silent_until_it_is_heard_again() {
+fn a_hall_without_heartbeats_is_silent_until_the_next_one() {
     let mut peers = two_halls();
-    heard_in(&mut peers, 1_400, 2, "a");
-    assert!(peers.silent_halls(Time(1_490), "a").is_empty(), "ten heartbeats of two daemons");
+    receive_from_hall(&mut peers, 1_400, 2, "a");
+    assert!(
+        peers.silent_halls(Time(1_490), "a").is_empty(),
+        "fewer than ten heartbeats of two daemons are missing"
+    );
     assert_eq!(
         peers.silent_halls(Time(1_500), "a"),
         ["b".into()],
-        "c has one daemon, which may end"
+        "hall c has one daemon, which may have stopped"
     );
-    heard_in(&mut peers, 1_600, 4, "b");
+    receive_from_hall(&mut peers, 1_600, 4, "b");
     assert!(peers.silent_halls(Time(1_650), "a").is_empty());
 }
 
 #[test]
-fn in_a_large_fleet_a_hall_is_silent_sooner_than_a_round_but_not_by_chance() {
+fn in_a_large_fleet_a_silent_hall_is_detected_within_a_round_but_not_by_chance() {
     let mut peers = peers();
     for last in 2..=120 {
-        heard_in(&mut peers, 0, last, if last % 3 == 0 { "b" } else { "a" });
+        receive_from_hall(&mut peers, 0, last, if last % 3 == 0 { "b" } else { "a" });
     }
-    heard_in(&mut peers, 900, 4, "a");
+    receive_from_hall(&mut peers, 900, 4, "a");
     assert!(peers.silent_halls(Time(750), "a").is_empty());
     assert_eq!(peers.silent_halls(Time(1_000), "a"), ["b".into()]);
 }
 
 #[test]
-fn a_daemon_that_hears_nobody_takes_itself_for_cut_off_and_no_hall_for_silent() {
+fn a_daemon_that_is_cut_off_itself_reports_no_silent_hall() {
     assert!(two_halls().silent_halls(Time(1_600), "a").is_empty());
 }
 
 #[test]
-fn daemons_of_a_large_fleet_begin_their_rounds_at_different_ones() {
+fn rounds_of_different_daemons_start_at_different_peers() {
     let first_target = |me: u8| {
         let mut peers = Peers::new(address(me), 100, Vec::new());
         (10..130).for_each(|last| {
-            let mut heartbeat = beat(last, 1);
+            let mut heartbeat = heartbeat_of(last, 1);
             heartbeat.known = Vec::new();
             peers.on_heartbeat(Time(0), heartbeat);
         });
         peers.targets(Time(10))[0]
     };
-    let firsts: std::collections::BTreeSet<SocketAddr> = (200..230).map(first_target).collect();
-    assert!(firsts.len() >= 15, "{}", firsts.len());
+    let first_targets: std::collections::BTreeSet<SocketAddr> =
+        (200..230).map(first_target).collect();
+    assert!(first_targets.len() >= 15, "{}", first_targets.len());
 }
 
 #[test]
-fn a_machine_that_was_never_heard_is_where_its_name_says_and_a_silent_one_is_nowhere() {
+fn an_unknown_machine_is_at_the_address_in_its_name_and_a_silent_one_has_none() {
     let mut peers = peers();
     assert_eq!(peers.machine_address(Time(0), "n9|10.0.0.9:7000"), Some(address(9)));
-    peers.on_heartbeat(Time(0), beat(9, 1));
+    peers.on_heartbeat(Time(0), heartbeat_of(9, 1));
     assert_eq!(peers.machine_address(Time(100), "n9|10.0.0.9:7000"), Some(address(9)));
     assert_eq!(peers.machine_address(Time(5_000), "n9|10.0.0.9:7000"), None);
-    assert_eq!(peers.machine_address(Time(100), "n9|10.0.0.8:7000"), None, "it has moved");
+    assert_eq!(
+        peers.machine_address(Time(100), "n9|10.0.0.8:7000"),
+        None,
+        "its address has changed"
+    );
 }
 
 #[test]
-fn a_daemon_knows_for_how_long_it_has_heard_nobody() {
+fn the_time_without_heartbeats_is_tracked() {
     let mut peers = peers();
-    assert_eq!(peers.silent_for(Time(5_000)), None, "it never heard anybody");
-    peers.on_heartbeat(Time(100), beat(3, 1));
-    peers.on_heartbeat(Time(400), beat(4, 1));
-    peers.on_heartbeat(Time(500), beat(1, 1));
+    assert_eq!(peers.silent_for(Time(5_000)), None, "no heartbeat has arrived");
+    peers.on_heartbeat(Time(100), heartbeat_of(3, 1));
+    peers.on_heartbeat(Time(400), heartbeat_of(4, 1));
+    peers.on_heartbeat(Time(500), heartbeat_of(1, 1));
     assert_eq!(peers.silent_for(Time(1_400)), Some(std::time::Duration::from_millis(1_000)));
 }
 
-/// Its clock may have gone back before it started again; it is told, and rises above.
+/// A daemon restarts after its clock has gone back, so its incarnation number is too low. It is
+/// told the known number and raises its own above that.
 #[test]
-fn a_daemon_that_tells_of_a_former_life_is_known_to() {
+fn a_stale_incarnation_is_reported_and_raised() {
     let mut peers = peers();
-    assert_eq!(peers.on_heartbeat(Time(10), beat(3, 9)), Some(PeerChange::Up));
-    assert_eq!(peers.on_heartbeat(Time(20), beat(3, 4)), Some(PeerChange::StaleIncarnation(9)));
-    let life = Incarnation::new(4);
-    assert!(life.raise_above(9) && !life.raise_above(9));
-    assert_eq!(peers.on_heartbeat(Time(30), beat(3, life.number())), Some(PeerChange::Up));
+    assert_eq!(peers.on_heartbeat(Time(10), heartbeat_of(3, 9)), Some(PeerChange::Up));
+    assert_eq!(
+        peers.on_heartbeat(Time(20), heartbeat_of(3, 4)),
+        Some(PeerChange::StaleIncarnation(9))
+    );
+    let restarted = Incarnation::new(4);
+    assert!(restarted.raise_above(9) && !restarted.raise_above(9));
+    assert_eq!(
+        peers.on_heartbeat(Time(30), heartbeat_of(3, restarted.number())),
+        Some(PeerChange::Up)
+    );
 }
