--- a/crates/portrack/src/gateway/backpressure/announcements.rs
+++ b/crates/portrack/src/gateway/backpressure/announcements.rs
@@ -1,4 +1,5 @@
-//! Which servers are to be told of, and when: datagrams are lost.
+//! Schedules which servers to announce to other daemons, and when. Announcements are repeated
+//! because datagrams get lost.
 
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
 use crate::gateway::fleet::recipients::Recipients;
@@ -7,12 +8,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A change is told so long after the one before, counted from when it became known: of a link that loses one datagram in
-/// forty all three are lost once in 64,000 times.
-const TOLD_AFTER: [Duration; 3] =
+/// Delay before each announcement of a change, counted from the one before, or from when the change
+/// became known. On a link that loses one datagram in forty, all three are lost once in 64,000
+/// times.
+const ANNOUNCEMENT_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(400), Duration::from_millis(1_200)];
-/// Between two tellings of one server at least, however often what is told of it changes.
-const APART: Duration = Duration::from_millis(300);
+/// Minimum time between two announcements of the same server, however often its state changes.
+const MIN_INTERVAL: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Clone, Copy)]
 struct Pending {
@@ -20,20 +22,21 @@
     times: usize,
 }
 
-/// The servers to tell of, by the marks of their lives.
+/// The servers to announce, by the hashes of their incarnations.
 #[derive(Debug, Clone, Default)]
 pub struct AnnouncementQueue(BTreeMap<u32, Pending>);
 
 impl AnnouncementQueue {
-    /// Has a server told of from now on.
+    /// Schedules announcements of a server from now on.
     pub fn add(&mut self, now: Time, server: u32) {
         let pending = self.0.entry(server).or_insert(Pending { due_at: now, times: 0 });
-        // What is due already tells the newest; what was told a moment ago is told again after a while.
-        pending.due_at = if pending.times == 0 { pending.due_at } else { now + APART };
+        // A pending announcement will carry the latest state anyway; a recent one is followed by
+        // another after a while.
+        pending.due_at = if pending.times == 0 { pending.due_at } else { now + MIN_INTERVAL };
         pending.times = 0;
     }
 
-    /// The daemons to tell now, each with the servers to tell it of.
+    /// Returns the daemons that announcements are due for, each with the servers to announce.
     pub fn due_by_address(
         &mut self,
         now: Time,
@@ -49,18 +52,18 @@
         by_address
     }
 
-    /// The servers to tell of now.
+    /// Returns the servers whose announcements are due.
     pub fn due(&mut self, now: Time) -> Vec<u32> {
         let mut due = Vec::new();
         for (server, pending) in &mut self.0 {
             if now >= pending.due_at {
                 due.push(*server);
                 pending.times += 1;
-                let next = TOLD_AFTER.get(pending.times).copied().unwrap_or_default();
+                let next = ANNOUNCEMENT_DELAYS.get(pending.times).copied().unwrap_or_default();
                 pending.due_at = now + next;
             }
         }
-        self.0.retain(|_, pending| pending.times < TOLD_AFTER.len());
+        self.0.retain(|_, pending| pending.times < ANNOUNCEMENT_DELAYS.len());
         due
     }
 }
--- a/crates/portrack/src/gateway/backpressure/backoff_hint.rs
+++ b/crates/portrack/src/gateway/backpressure/backoff_hint.rs
@@ -1,31 +1,32 @@
-//! For how long a server wants nothing from this node, by its own word.
+//! The backoff that a server asks this node for.
 
 use std::time::Duration;
 
-/// A rest that is longer is cut to this, a year: what comes after it is not reckoned with.
-const LONGEST: Duration = Duration::from_secs(365 * 24 * 3_600);
+/// Longer backoffs are cut to this, one year; nothing beyond that matters.
+const MAX_BACKOFF: Duration = Duration::from_secs(365 * 24 * 3_600);
 
-/// What one answer says of a rest.
+/// The backoff in one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum BackoffHint {
-    /// It names none.
+    /// The response contains none.
     #[default]
     Absent,
-    /// It names one that cannot be read.
+    /// The response contains an unreadable backoff.
     Invalid,
-    /// It names this one.
+    /// The backoff.
     Value(Duration),
 }
 
 impl BackoffHint {
-    /// A rest of so many seconds; `None` where it is no number.
+    /// Parses a backoff in seconds; `None` if it is not a number.
     pub fn of(seconds: Option<f64>) -> Self {
         let seconds = seconds.filter(|seconds| *seconds >= 0.0);
-        let rest = |seconds| Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST).min(LONGEST);
-        seconds.map_or(Self::Invalid, |seconds| Self::Value(rest(seconds)))
+        let backoff =
+            |seconds| Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACKOFF).min(MAX_BACKOFF);
+        seconds.map_or(Self::Invalid, |seconds| Self::Value(backoff(seconds)))
     }
 
-    /// What an answer says that names a rest once more: the longest one binds.
+    /// Combines two backoffs of one response: the longer one applies.
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
             (Self::Value(one), Self::Value(two)) => Self::Value(one.max(two)),
@@ -35,10 +36,10 @@
         }
     }
 
-    /// The rest, if one is named that can be read.
+    /// The backoff, if there is a readable one.
     pub fn get(self) -> Option<Duration> {
         match self {
-            Self::Value(rest) => Some(rest),
+            Self::Value(backoff) => Some(backoff),
             Self::Absent | Self::Invalid => None,
         }
     }
--- a/crates/portrack/src/gateway/backpressure/bucket.rs
+++ b/crates/portrack/src/gateway/backpressure/bucket.rs
@@ -1,104 +1,105 @@
-//! Paces what one daemon lets go to a server that names a limit.
+//! Paces the requests that one daemon admits to a server with a limit.
 
 use super::limit::RateLimit;
 use crate::types::Time;
 use std::time::Duration;
 
-/// A server that takes nothing gets one request in ten seconds all the same, in requests a second: it says only in
-/// answers that it takes more again.
-const LEAST_RATE: f64 = 0.1;
-/// What did not go comes in later up to what a server takes in this time, or one request. All of four seconds stays below
-/// one and a half times the limit and five requests, also where another daemon gives its doubtful part besides.
-const DEPTH: Duration = Duration::from_millis(250);
-/// Of the limit, this part is given by a daemon that may not be the only one that gives.
-const DOUBTFUL_PART: f64 = 0.4;
-/// Sums of parts of a request are this exact.
-const EXACT: f64 = 1e-6;
+/// Minimum rate in requests per second. A server with a limit of zero still gets one request in ten
+/// seconds, because only its responses can raise the limit.
+const MIN_RATE: f64 = 0.1;
+/// Burst size: unused capacity accumulates up to what a server takes in this time, or one request.
+/// With it any four seconds stay below one and a half times the limit plus five requests, even if
+/// another daemon also grants its reduced share.
+const BURST: Duration = Duration::from_millis(250);
+/// Share of the limit that a daemon grants if it may not be the only granter.
+const SHARED_FRACTION: f64 = 0.4;
+/// Tolerance for sums of fractions of a request.
+const TOLERANCE: f64 = 1e-6;
 
-/// What binds arrivals at a server that names a limit.
+/// The rate limit that applies to a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitRule {
-    /// What the server takes from all daemons.
+    /// What the server accepts from all daemons together.
     pub limit: RateLimit,
-    /// Since when it is known to name a limit.
+    /// Since when the server is known to advertise a limit.
     pub since: Time,
-    /// Another daemon may give out the limit too.
+    /// Another daemon may be granting the same limit.
     pub may_be_shared: bool,
 }
 
 impl LimitRule {
-    /// Requests a second.
+    /// Effective rate in requests per second.
     pub fn rate(&self) -> f64 {
-        let part = if self.may_be_shared { DOUBTFUL_PART } else { 1.0 };
-        (self.limit.get() * part).max(LEAST_RATE)
+        let fraction = if self.may_be_shared { SHARED_FRACTION } else { 1.0 };
+        (self.limit.get() * fraction).max(MIN_RATE)
     }
 
-    fn depth(&self) -> f64 {
-        (self.rate() * DEPTH.as_secs_f64()).max(1.0)
+    fn burst(&self) -> f64 {
+        (self.rate() * BURST.as_secs_f64()).max(1.0)
     }
 }
 
-/// Requests that may go now: a token bucket. It begins empty at the time when the limit became known: until then others
-/// sent without one.
+/// Token bucket of the requests that may be sent now. It starts empty at the time when the limit
+/// became known: until then others sent without a limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RateBucket {
-    level: f64,
-    at: Time,
-    /// The rule since the last look; `None` while the server names no limit.
+    tokens: f64,
+    updated_at: Time,
+    /// The rule at the last update; `None` while the server has no limit.
     rule: Option<LimitRule>,
 }
 
 impl RateBucket {
-    /// Takes in the rule that holds from now on.
+    /// Sets the rule that applies from now on.
     pub fn set(&mut self, now: Time, rule: Option<LimitRule>) {
-        self.level = match (self.rule, rule) {
-            (Some(_), Some(rule)) => self.level(now).min(rule.depth()),
+        self.tokens = match (self.rule, rule) {
+            (Some(_), Some(rule)) => self.tokens(now).min(rule.burst()),
             (None, Some(rule)) => {
-                (rule.rate() * now.since(rule.since).as_secs_f64()).min(rule.depth())
+                (rule.rate() * now.since(rule.since).as_secs_f64()).min(rule.burst())
             }
             (_, None) => 0.0,
         };
-        self.at = now;
+        self.updated_at = now;
         self.rule = rule;
     }
 
-    fn level(&self, now: Time) -> f64 {
-        let Some(rule) = self.rule else { return self.level };
-        let came = rule.rate() * now.since(self.at).as_secs_f64();
-        (self.level + came).min(rule.depth())
+    fn tokens(&self, now: Time) -> f64 {
+        let Some(rule) = self.rule else { return self.tokens };
+        let refilled = rule.rate() * now.since(self.updated_at).as_secs_f64();
+        (self.tokens + refilled).min(rule.burst())
     }
 
-    /// True while the server names a limit.
+    /// Returns true while the server has a limit.
     pub fn is_set(&self) -> bool {
         self.rule.is_some()
     }
 
-    /// True if a request may go.
+    /// Returns true if a request may be sent.
     pub fn has_room(&self, now: Time) -> bool {
-        self.rule.is_none() || self.level(now) + EXACT >= 1.0
+        self.rule.is_none() || self.tokens(now) + TOLERANCE >= 1.0
     }
 
-    /// A request goes.
+    /// Takes a token for a request.
     pub fn take(&mut self, now: Time) {
         self.set(now, self.rule);
-        self.level -= 1.0;
+        self.tokens -= 1.0;
     }
 
-    /// A request that was to go did not.
+    /// Returns the token of a request that was not sent.
     pub fn refund(&mut self) {
         if self.rule.is_some() {
-            self.level += 1.0;
+            self.tokens += 1.0;
         }
     }
 
-    /// How long the last of `waiting` requests waits for its turn.
+    /// How long the last of `waiting` requests has to wait.
     pub fn wait(&self, now: Time, waiting: usize) -> Duration {
         let Some(rule) = self.rule else { return Duration::ZERO };
-        let missing = (waiting as f64 - self.level(now)).max(0.0);
+        let missing = (waiting as f64 - self.tokens(now)).max(0.0);
         Duration::from_secs_f64(missing / rule.rate())
     }
 
-    /// Between two requests on the average; zero while the server names no limit.
+    /// Mean time between two requests; zero while the server has no limit.
     pub fn mean_interval(&self) -> Duration {
         self.rule.map_or(Duration::ZERO, |rule| Duration::from_secs_f64(1.0 / rule.rate()))
     }
--- a/crates/portrack/src/gateway/backpressure/limit.rs
+++ b/crates/portrack/src/gateway/backpressure/limit.rs
@@ -1,19 +1,19 @@
-//! How many requests a second a server takes, by its own word.
+//! Rate limits that servers advertise.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second that a server takes from all daemons together: finite and not negative.
+/// Requests per second that a server accepts from all daemons together: finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A limit in requests a second; `None` for what is none.
+    /// Creates a limit in requests per second; `None` if the value is invalid.
     pub fn per_second(rate: f64) -> Option<Self> {
         (rate.is_finite() && rate >= 0.0).then_some(Self(rate))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -23,7 +23,7 @@
     type Error = &'static str;
 
     fn try_from(rate: f64) -> Result<Self, Self::Error> {
-        Self::per_second(rate).ok_or("no number of requests a second")
+        Self::per_second(rate).ok_or("not a valid number of requests per second")
     }
 }
 
@@ -33,25 +33,26 @@
     }
 }
 
-/// What one answer says of its server's limit.
+/// The limit in one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitHint {
-    /// It names none.
+    /// The response contains none.
     #[default]
     Absent,
-    /// It names one that cannot be read: it tells neither what the limit is nor that there is none.
+    /// The response contains an unreadable limit: neither its value nor the lack of a limit is
+    /// known.
     Invalid,
-    /// It names this one.
+    /// The limit.
     Value(RateLimit),
 }
 
 impl LimitHint {
-    /// Reads one value; `None` where it is no number.
+    /// Parses one value; `None` if it is not a number.
     pub fn of(rate: Option<f64>) -> Self {
         rate.and_then(RateLimit::per_second).map_or(Self::Invalid, Self::Value)
     }
 
-    /// What an answer says that names a limit once more: the lowest one binds.
+    /// Combines two limits of one response: the lower one applies.
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
             (Self::Value(one), Self::Value(two)) => Self::Value(if two < one { two } else { one }),
--- a/crates/portrack/src/gateway/backpressure/limit_state.rs
+++ b/crates/portrack/src/gateway/backpressure/limit_state.rs
@@ -1,77 +1,78 @@
-//! What is believed of one server's limit, and on which evidence.
+//! The limit of one server, and the observation that it is based on.
 
 use super::limit::RateLimit;
 use crate::types::Time;
 use std::cmp::Ordering;
 
-/// What one answer showed: the server said it at some time between the two.
+/// What one response showed. The server stated it at some time between the two times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitObservation {
-    /// The limit; `None` if the answer named none.
+    /// The limit; `None` if the response contained none.
     pub limit: Option<RateLimit>,
     /// When the request was sent.
-    pub asked_at: Time,
-    /// When the answer came.
-    pub heard_at: Time,
+    pub sent_at: Time,
+    /// When the response arrived.
+    pub received_at: Time,
 }
 
-/// What is believed of one life of a server.
+/// Limit state of one incarnation of a server.
 ///
-/// Answers overtake each other, and other daemons tell late and twice. What binds less than what is believed counts
-/// only if it was certainly said later; what binds as much or more counts unless it was certainly said before.
+/// Responses overtake each other, and reports of other daemons arrive late and more than once. A
+/// looser limit than the known one counts only if it was certainly stated later; one that is as
+/// tight or tighter counts unless it was certainly stated earlier.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitState {
-    evidence: LimitObservation,
-    /// When the server was first heard to name a limit, of those without a break up to now.
+    observation: LimitObservation,
+    /// When the server was first seen to advertise a limit, without interruption since.
     since: Time,
 }
 
 impl LimitState {
-    /// A belief on first evidence.
-    pub fn new(evidence: LimitObservation) -> Self {
-        Self { evidence, since: evidence.heard_at }
+    /// Creates the state from a first observation.
+    pub fn new(observation: LimitObservation) -> Self {
+        Self { observation, since: observation.received_at }
     }
 
     /// The limit in force, if any.
     pub fn limit(&self) -> Option<RateLimit> {
-        self.evidence.limit
+        self.observation.limit
     }
 
-    /// Since when a limit is in force, whether or not it was the same all the time.
+    /// Since when a limit has been in force, even if its value changed.
     pub fn since(&self) -> Time {
         self.since
     }
 
-    /// The evidence it rests on.
-    pub fn evidence(&self) -> LimitObservation {
-        self.evidence
+    /// The observation that the state is based on.
+    pub fn observation(&self) -> LimitObservation {
+        self.observation
     }
 
-    /// Takes further evidence in; true if that changes the limit.
-    pub fn take(&mut self, new: LimitObservation) -> bool {
-        let known = &mut self.evidence;
-        match width(new.limit).total_cmp(&width(known.limit)) {
+    /// Applies another observation. Returns true if the limit changed.
+    pub fn apply(&mut self, new: LimitObservation) -> bool {
+        let known = &mut self.observation;
+        match allowed_rate(new.limit).total_cmp(&allowed_rate(known.limit)) {
             Ordering::Equal => {
-                known.asked_at = known.asked_at.max(new.asked_at);
-                known.heard_at = known.heard_at.max(new.heard_at);
+                known.sent_at = known.sent_at.max(new.sent_at);
+                known.received_at = known.received_at.max(new.received_at);
                 false
             }
-            Ordering::Less if new.heard_at >= known.asked_at => self.replace(new),
-            Ordering::Greater if new.asked_at > known.heard_at => self.replace(new),
+            Ordering::Less if new.received_at >= known.sent_at => self.replace(new),
+            Ordering::Greater if new.sent_at > known.received_at => self.replace(new),
             Ordering::Less | Ordering::Greater => false,
         }
     }
 
     fn replace(&mut self, new: LimitObservation) -> bool {
-        if self.evidence.limit.is_none() {
-            self.since = new.heard_at;
+        if self.observation.limit.is_none() {
+            self.since = new.received_at;
         }
-        self.evidence = new;
+        self.observation = new;
         true
     }
 }
 
-/// Requests a second that a limit lets through.
-fn width(limit: Option<RateLimit>) -> f64 {
+/// Requests per second that a limit allows.
+fn allowed_rate(limit: Option<RateLimit>) -> f64 {
     limit.map_or(f64::INFINITY, RateLimit::get)
 }
--- a/crates/portrack/src/gateway/backpressure/message.rs
+++ b/crates/portrack/src/gateway/backpressure/message.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of limits.
+//! Messages between daemons about limits.
 
 use super::limit::RateLimit;
 use super::limit_state::LimitObservation;
@@ -6,37 +6,37 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Reports in one datagram: 25 bytes each at most.
-pub const REPORTS: usize = 48;
-/// A datagram may be on its way for so long, so what it tells may be so much older than it says. Without it a word from
-/// before a limit was named could end it.
-const ON_ITS_WAY: Duration = Duration::from_millis(250);
+/// Reports per datagram: at most 25 bytes each.
+pub const REPORTS_PER_DATAGRAM: usize = 48;
+/// Possible delay of a datagram, by which its contents may be older than stated. Without it a
+/// report from before a limit was advertised could end that limit.
+const MAX_DELAY: Duration = Duration::from_millis(250);
 
-/// What a daemon believes of one life of a server.
+/// What a daemon knows about the limit of one incarnation of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The server, by the mark of its life.
+    /// Incarnation hash of the server.
     pub server: u32,
-    /// The limit that it names; `None` if it names none any more.
+    /// The limit; `None` if the server has none any more.
     pub limit: Option<RateLimit>,
-    /// How long ago the request was sent whose answer said so, in milliseconds.
+    /// Milliseconds since the request was sent whose response stated it.
     pub asked_ms: u32,
-    /// How long ago that answer came, in milliseconds.
+    /// Milliseconds since that response arrived.
     pub heard_ms: u32,
 }
 
 impl LimitReport {
-    /// What evidence says, told at `now`.
-    pub fn new(now: Time, server: u32, evidence: LimitObservation) -> Self {
+    /// Creates the report of an observation at `now`.
+    pub fn new(now: Time, server: u32, observation: LimitObservation) -> Self {
         let ms = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
-        let LimitObservation { limit, asked_at, heard_at } = evidence;
-        Self { server, limit, asked_ms: ms(asked_at), heard_ms: ms(heard_at) }
+        let LimitObservation { limit, sent_at, received_at } = observation;
+        Self { server, limit, asked_ms: ms(sent_at), heard_ms: ms(received_at) }
     }
 
-    /// The evidence, as far as a daemon that hears of it at `now` can tell.
-    pub fn evidence(&self, now: Time) -> LimitObservation {
+    /// The observation, as seen by a daemon that receives the report at `now`.
+    pub fn observation(&self, now: Time) -> LimitObservation {
         let before = |ms: u32| now - Duration::from_millis(ms.into());
-        let (asked_at, heard_at) = (before(self.asked_ms) - ON_ITS_WAY, before(self.heard_ms));
-        LimitObservation { limit: self.limit, asked_at, heard_at }
+        let (sent_at, received_at) = (before(self.asked_ms) - MAX_DELAY, before(self.heard_ms));
+        LimitObservation { limit: self.limit, sent_at, received_at }
     }
 }
--- a/crates/portrack/src/gateway/backpressure/mod.rs
+++ b/crates/portrack/src/gateway/backpressure/mod.rs
@@ -1,14 +1,19 @@
-//! What servers say in their answers of how much they take, and what follows for all nodes together.
+//! Backpressure: how much work servers accept according to their responses, and what all nodes
+//! together make of it.
 //!
-//! In come the heads of answers, and what other daemons tell; out go the limit in force for each life of a server, servers
-//! that leave, and messages.
+//! It is fed with the heads of responses and with reports of other daemons, and produces the limit
+//! in force for each incarnation of a server, the servers that are leaving, and messages.
 //!
-//! - A server in need names a limit: the requests a second that it takes from all daemons. Arrivals there are granted by
-//!   one daemon (`arrivals/`). What binds less than what is believed is only believed on evidence that is certainly newer.
-//! - A server that turns requests away may ask this node for rest. The node keeps it for itself: it says nothing of others.
-//! - A server that leaves says so. It gets nothing more in that life, whatever its entry says.
+//! - An overloaded server advertises a limit, the requests per second that it accepts from all
+//!   daemons together. One daemon grants the arrivals there (`arrivals/`). A looser limit than the
+//!   known one counts only if the observation is certainly newer.
+//! - A server that rejects requests may ask this node to back off. The node does not pass that on:
+//!   it says nothing about other nodes.
+//! - A server that is leaving reports it, and gets nothing more in that incarnation, whatever its
+//!   entry says.
 //!
-//! Every send is checked right before its first byte: what a server says may have been heard after it was chosen.
+//! Every request is checked right before its first byte is sent: the report may have arrived after
+//! the server was chosen.
 
 pub(in crate::gateway) mod announcements;
 pub(in crate::gateway) mod backoff_hint;
--- a/crates/portrack/src/gateway/backpressure/tracker.rs
+++ b/crates/portrack/src/gateway/backpressure/tracker.rs
@@ -1,4 +1,4 @@
-//! Keeps what servers say of how much they take on behalf of one node, and tells the others.
+//! Tracks on behalf of one node how much work servers accept, and reports it to other daemons.
 
 use super::announcements::AnnouncementQueue;
 use super::backoff_hint::BackoffHint;
@@ -7,7 +7,7 @@
 use super::limit::{LimitHint, RateLimit};
 use super::limit_state::LimitObservation;
 use super::limit_table::{LimitChange, LimitTable};
-use super::message::{LimitReport, REPORTS};
+use super::message::{LimitReport, REPORTS_PER_DATAGRAM};
 use crate::gateway::dialect::ResponseMeta;
 use crate::gateway::fleet::backend::Backend;
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons};
@@ -23,249 +23,260 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A server that answers a request with this does not have what the request needs, or has only the address of the one that
-/// is meant: what it says may narrow what is believed, never widen it.
-const NOT_MEANT: u16 = 421;
+/// Status of a server that lacks what the request needs, or that is not the server that was meant
+/// and only has its address. Such a response may tighten the known limit but never loosen it.
+const MISDIRECTED: u16 = 421;
 
-/// Statuses by which a server turns a request away, and may ask for rest.
-const TURNED_AWAY: [u16; 2] = [429, 503];
-/// A server without room within its limit is no home for adapters for so long: about as long as one is used.
-const FULL_LATELY: Duration = Duration::from_millis(5_000);
-/// Nodes come back up to a tenth later than a rest's end, and up to this.
-const SPREAD_SHARE: u32 = 10;
-const SPREAD: Duration = Duration::from_millis(250);
+/// Statuses with which a server rejects a request and may ask for backoff.
+const REJECTED: [u16; 2] = [429, 503];
+/// For this long after a server had no room within its limit, it is not chosen for loading
+/// adapters: about as long as one is used.
+const FULL_FOR: Duration = Duration::from_millis(5_000);
+/// Each node resumes up to a tenth of the backoff later, and at most this much later.
+const JITTER_DIVISOR: u32 = 10;
+const MAX_JITTER: Duration = Duration::from_millis(250);
 
 /// What is counted.
 pub struct BackpressureMetrics {
-    /// Servers that name a limit now.
+    /// Servers that advertise a limit at present.
     pub limited: IntGauge,
-    /// Answers that name a limit or a rest which cannot be read.
+    /// Responses with an unreadable limit or backoff.
     pub unreadable: IntCounter,
-    /// Servers that rest from this node now.
+    /// Servers that this node backs off from at present.
     pub resting: IntGauge,
-    /// Answers that asked for rest.
+    /// Responses that asked for backoff.
     pub rests: IntCounter,
-    /// Servers passed over by requests since they had no room within their limits.
+    /// Times that a request skipped a server without room within its limit.
     pub full: IntCounter,
 }
 
-/// What keeping limits hangs on.
+/// Dependencies of [`Backpressure`].
 pub struct BackpressureDeps {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// For datagrams.
+    /// Sends datagrams.
     pub messenger: Rc<Messenger>,
     /// This daemon.
     pub me: DaemonInfo,
-    /// The daemons that are up and stay, kept up to date by others.
+    /// The daemons that are up and not leaving, kept up to date by others.
     pub daemons: Rc<RefCell<Daemons>>,
-    /// Everything counted.
+    /// The metrics.
     pub metrics: BackpressureMetrics,
 }
 
-/// Whom a limit was learned from.
+/// Where a limit was learned from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LearnedFrom {
-    Answer,
+enum LimitSource {
+    Response,
     Peer,
 }
 
-impl LearnedFrom {
+impl LimitSource {
     fn name(self) -> &'static str {
         match self {
-            Self::Answer => "answer",
+            Self::Response => "answer",
             Self::Peer => "peer",
         }
     }
 }
 
-/// What servers said of how much they take.
+/// How much work servers accept, according to their responses.
 pub struct Backpressure {
-    parts: BackpressureDeps,
+    deps: BackpressureDeps,
     limits: RefCell<LimitTable>,
-    rests: RefCell<Backoffs>,
-    /// When requests last passed over servers without room within their limits.
+    backoffs: RefCell<Backoffs>,
+    /// When a request last skipped a server without room within its limit.
     full: RefCell<HashMap<u32, Time>>,
-    telling: RefCell<AnnouncementQueue>,
+    announcements: RefCell<AnnouncementQueue>,
 }
 
 impl Backpressure {
-    /// Nothing heard yet.
-    pub fn new(parts: BackpressureDeps) -> Self {
-        let (limits, rests) = (RefCell::default(), RefCell::default());
-        Self { parts, limits, rests, full: RefCell::default(), telling: RefCell::default() }
+    /// Starts without any observations.
+    pub fn new(deps: BackpressureDeps) -> Self {
+        let (limits, backoffs) = (RefCell::default(), RefCell::default());
+        Self { deps, limits, backoffs, full: RefCell::default(), announcements: RefCell::default() }
     }
 
-    /// The limit that a life of a server names, if any.
+    /// The limit of a server's incarnation, if any.
     pub fn limit(&self, server: u32) -> Option<RateLimit> {
         self.limits.borrow().limit(server)
     }
 
-    /// What binds arrivals at a life of a server that names a limit; `may_be_shared` if this daemon may not be the only one that
-    /// gives it out.
+    /// The rule for arrivals at a server with a limit. `may_be_shared` is set if this daemon may
+    /// not be the only one that grants the limit.
     pub fn rule(&self, server: u32, may_be_shared: bool) -> Option<LimitRule> {
         let limits = self.limits.borrow();
-        let belief = limits.get(server)?;
-        Some(LimitRule { limit: belief.limit()?, since: belief.since(), may_be_shared })
+        let state = limits.get(server)?;
+        Some(LimitRule { limit: state.limit()?, since: state.since(), may_be_shared })
     }
 
-    /// What another daemon has to know of a server that names a limit.
+    /// The report that other daemons need about a server with a limit.
     pub fn report(&self, server: u32) -> Option<LimitReport> {
         let limits = self.limits.borrow();
-        let belief = limits.get(server).filter(|belief| belief.limit().is_some())?;
-        Some(LimitReport::new(self.parts.clock.now(), server, belief.evidence()))
+        let state = limits.get(server).filter(|state| state.limit().is_some())?;
+        Some(LimitReport::new(self.deps.clock.now(), server, state.observation()))
     }
 
-    /// Takes in an answer to a request that was sent at `asked_at`.
-    pub fn on_response(&self, backend: &Backend, asked_at: Time, status: u16, meta: &ResponseMeta) {
-        let may_widen = status != NOT_MEANT;
-        self.hear_limit(backend, may_widen.then_some(asked_at), meta);
-        self.hear_rest(backend, asked_at, status, meta);
+    /// Applies a response to a request that was sent at `asked_at`.
+    pub fn on_response(&self, backend: &Backend, sent_at: Time, status: u16, meta: &ResponseMeta) {
+        let may_loosen = status != MISDIRECTED;
+        self.on_limit_hint(backend, may_loosen.then_some(sent_at), meta);
+        self.on_backoff_hint(backend, sent_at, status, meta);
     }
 
-    fn hear_rest(&self, backend: &Backend, asked_at: Time, status: u16, meta: &ResponseMeta) {
-        let (now, server) = (self.parts.clock.now(), backend.incarnation_hash());
-        let turned_away = TURNED_AWAY.contains(&status);
-        let rest = meta.rest.get().filter(|rest| turned_away && !rest.is_zero());
-        let Some(rest) = rest else {
-            if turned_away && meta.rest == BackoffHint::Invalid {
-                self.parts.metrics.unreadable.inc();
+    fn on_backoff_hint(&self, backend: &Backend, sent_at: Time, status: u16, meta: &ResponseMeta) {
+        let (now, server) = (self.deps.clock.now(), backend.incarnation_hash());
+        let rejected = REJECTED.contains(&status);
+        let backoff = meta.rest.get().filter(|backoff| rejected && !backoff.is_zero());
+        let Some(backoff) = backoff else {
+            if rejected && meta.rest == BackoffHint::Invalid {
+                self.deps.metrics.unreadable.inc();
             }
-            self.rests.borrow_mut().answered(now, server, asked_at);
+            self.backoffs.borrow_mut().on_response(now, server, sent_at);
             return;
         };
-        if self.rests.borrow_mut().begin(now, server, rest + self.spread(server, rest)) {
-            let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+        if self.backoffs.borrow_mut().start(now, server, backoff + self.jitter(server, backoff)) {
+            let rest_ms = u64::try_from(backoff.as_millis()).unwrap_or(u64::MAX);
             log::info!(server = &*backend.id, status = status, rest_ms = rest_ms; "server_rest");
         }
-        self.parts.metrics.rests.inc();
+        self.deps.metrics.rests.inc();
     }
 
-    /// How much later than a rest's end this node comes back: each node at a time of its own.
-    fn spread(&self, server: u32, rest: Duration) -> Duration {
-        let me = self.parts.me.address.to_string();
-        let place = xxh3_64_with_seed(me.as_bytes(), server.into()) as f64 / u64::MAX as f64;
-        (rest / SPREAD_SHARE).min(SPREAD).mul_f64(place)
+    /// Extra time before this node resumes after a backoff, different for each node.
+    fn jitter(&self, server: u32, backoff: Duration) -> Duration {
+        let me = self.deps.me.address.to_string();
+        let fraction = xxh3_64_with_seed(me.as_bytes(), server.into()) as f64 / u64::MAX as f64;
+        (backoff / JITTER_DIVISOR).min(MAX_JITTER).mul_f64(fraction)
     }
 
-    /// For how long a server wants nothing from this node; `None` if a request may be sent.
+    /// Remaining backoff of a server; `None` if a request may be sent.
     pub fn backoff_remaining(&self, server: u32) -> Option<Duration> {
-        self.rests.borrow().left(self.parts.clock.now(), server)
+        self.backoffs.borrow().remaining(self.deps.clock.now(), server)
     }
 
-    /// A request of this node passes a server over that has no room within its limit.
+    /// Records that a request of this node skipped a server without room within its limit.
     pub fn skipped_full_server(&self, server: u32) {
-        self.parts.metrics.full.inc();
-        self.full.borrow_mut().insert(server, self.parts.clock.now());
+        self.deps.metrics.full.inc();
+        self.full.borrow_mut().insert(server, self.deps.clock.now());
     }
 
-    /// True if a server had no room within its limit a while ago: what is loaded there now could not be used.
+    /// Returns true if a server had no room within its limit recently, so an adapter loaded there
+    /// could not be used.
     pub fn is_full(&self, server: u32) -> bool {
         let last = self.full.borrow().get(&server).copied();
-        last.is_some_and(|at| self.parts.clock.now().since(at) < FULL_LATELY)
+        last.is_some_and(|at| self.deps.clock.now().since(at) < FULL_FOR)
     }
 
-    /// A request is being sent to a server.
+    /// Records that a request is sent to a server.
     pub fn sent(&self, server: u32) {
-        self.rests.borrow_mut().sent(self.parts.clock.now(), server);
+        self.backoffs.borrow_mut().sent(self.deps.clock.now(), server);
     }
 
-    /// Takes in an answer to an order or to a question for a report: a limit that it names holds, one that it does not name is
-    /// not over.
+    /// Applies a response to an order or to a report query. A limit in it holds; the lack of one
+    /// does not end a limit.
     pub fn on_order_response(&self, backend: &Backend, meta: &ResponseMeta) {
-        self.hear_limit(backend, None, meta);
+        self.on_limit_hint(backend, None, meta);
     }
 
-    /// Takes in what an answer says of its server's limit. Without the time at which it was asked for it may only narrow what is
-    /// believed.
-    fn hear_limit(&self, backend: &Backend, asked_at: Option<Time>, meta: &ResponseMeta) {
+    /// Applies the limit in a response. Without the time of its request it may only tighten the
+    /// known limit.
+    fn on_limit_hint(&self, backend: &Backend, sent_at: Option<Time>, meta: &ResponseMeta) {
         let limit = match meta.limit {
             LimitHint::Value(limit) => Some(limit),
-            LimitHint::Absent if asked_at.is_none() => return,
+            LimitHint::Absent if sent_at.is_none() => return,
             LimitHint::Absent => None,
             LimitHint::Invalid => {
-                self.parts.metrics.unreadable.inc();
+                self.deps.metrics.unreadable.inc();
                 return;
             }
         };
-        let (now, server) = (self.parts.clock.now(), backend.incarnation_hash());
-        // As if it had been asked for before all else: then it cannot be newer than what it would widen.
-        let asked_at = asked_at.unwrap_or_default();
-        let evidence = LimitObservation { limit, asked_at, heard_at: now };
-        if self.take(server, &backend.id, evidence, LearnedFrom::Answer) {
-            self.telling.borrow_mut().add(now, server);
+        let (now, server) = (self.deps.clock.now(), backend.incarnation_hash());
+        // As if it had been requested before everything else, so it is never newer than what it
+        // would loosen.
+        let sent_at = sent_at.unwrap_or_default();
+        let observation = LimitObservation { limit, sent_at, received_at: now };
+        if self.apply(server, &backend.id, observation, LimitSource::Response) {
+            self.announcements.borrow_mut().add(now, server);
             self.tick();
         }
     }
 
-    /// Takes in what another daemon believes of a server that this one knows.
+    /// Applies a report of another daemon about a known server.
     pub fn on_report(&self, backend: &Backend, report: &LimitReport) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let changed =
-            self.take(report.server, &backend.id, report.evidence(now), LearnedFrom::Peer);
-        let daemons = self.parts.daemons.borrow();
-        if changed && must_forward(&daemons, &self.parts.me, report.server.into()) {
-            self.telling.borrow_mut().add(now, report.server);
+            self.apply(report.server, &backend.id, report.observation(now), LimitSource::Peer);
+        let daemons = self.deps.daemons.borrow();
+        if changed && must_forward(&daemons, &self.deps.me, report.server.into()) {
+            self.announcements.borrow_mut().add(now, report.server);
         }
     }
 
-    /// Takes evidence in; true if the limit has changed.
-    fn take(&self, server: u32, id: &str, evidence: LimitObservation, from: LearnedFrom) -> bool {
-        let Some(change) = self.limits.borrow_mut().take(server, evidence) else { return false };
-        self.count();
-        let age = self.parts.clock.now().since(evidence.asked_at);
-        log_change(id, change, age.as_millis() as u64, from);
+    /// Applies an observation. Returns true if the limit changed.
+    fn apply(
+        &self,
+        server: u32,
+        id: &str,
+        observation: LimitObservation,
+        from: LimitSource,
+    ) -> bool {
+        let Some(change) = self.limits.borrow_mut().apply(server, observation) else {
+            return false;
+        };
+        self.update_limited_gauge();
+        let age = self.deps.clock.now().since(observation.sent_at);
+        log_limit_change(id, change, age.as_millis() as u64, from);
         true
     }
 
-    fn count(&self) {
+    fn update_limited_gauge(&self) {
         let limited = self.limits.borrow().limited().count();
-        self.parts.metrics.limited.set(limited as i64);
+        self.deps.metrics.limited.set(limited as i64);
     }
 
-    /// Tells what is due.
+    /// Sends the announcements that are due.
     pub fn tick(&self) {
-        let (now, daemons) = (self.parts.clock.now(), self.parts.daemons.borrow());
-        let due = self.telling.borrow_mut().due_by_address(now, &daemons, &self.parts.me);
+        let (now, daemons) = (self.deps.clock.now(), self.deps.daemons.borrow());
+        let due = self.announcements.borrow_mut().due_by_address(now, &daemons, &self.deps.me);
         let limits = self.limits.borrow();
         let report = |server: u32| {
-            let belief = limits.get(server)?;
-            Some(LimitReport::new(now, server, belief.evidence()))
+            let state = limits.get(server)?;
+            Some(LimitReport::new(now, server, state.observation()))
         };
         for (to, servers) in due {
-            self.tell(&servers.into_iter().filter_map(report).collect::<Vec<_>>(), to);
+            self.send_reports(&servers.into_iter().filter_map(report).collect::<Vec<_>>(), to);
         }
     }
 
-    /// Tells a daemon that has just come up, or is heard again, which servers name limits.
+    /// Sends all known limits to a daemon that has just come up or come back.
     pub fn send_snapshot(&self, to: SocketAddr) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let limits = self.limits.borrow();
         let limited = limits.limited();
         let reports =
-            limited.map(|(server, belief)| LimitReport::new(now, server, belief.evidence()));
-        self.tell(&reports.collect::<Vec<LimitReport>>(), to);
+            limited.map(|(server, state)| LimitReport::new(now, server, state.observation()));
+        self.send_reports(&reports.collect::<Vec<LimitReport>>(), to);
     }
 
-    fn tell(&self, reports: &[LimitReport], to: SocketAddr) {
-        for some in reports.chunks(REPORTS) {
-            self.parts.messenger.send(&PeerMessage::Limits(some.to_vec()), to);
+    fn send_reports(&self, reports: &[LimitReport], to: SocketAddr) {
+        for chunk in reports.chunks(REPORTS_PER_DATAGRAM) {
+            self.deps.messenger.send(&PeerMessage::Limits(chunk.to_vec()), to);
         }
     }
 
-    /// Forgets servers that are gone.
+    /// Removes servers that are gone.
     pub fn retain(&self, is_known: impl Fn(u32) -> bool) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         self.limits.borrow_mut().retain(now, &is_known);
-        self.rests.borrow_mut().retain(now, &is_known);
+        self.backoffs.borrow_mut().retain(now, &is_known);
         self.full.borrow_mut().retain(|server, _| is_known(*server));
-        self.count();
-        let resting = self.rests.borrow().count(now);
-        self.parts.metrics.resting.set(resting as i64);
+        self.update_limited_gauge();
+        let resting = self.backoffs.borrow().count(now);
+        self.deps.metrics.resting.set(resting as i64);
     }
 }
 
-fn log_change(server: &str, change: LimitChange, age_ms: u64, from: LearnedFrom) {
+fn log_limit_change(server: &str, change: LimitChange, age_ms: u64, from: LimitSource) {
     let rate = |limit: Option<RateLimit>| limit.map_or(-1.0, RateLimit::get);
     log::info!(
         server = server, per_second = rate(change.now), before = rate(change.before), age_ms = age_ms,
