--- a/crates/portrack/src/gateway/backpressure/tracker.rs
+++ b/crates/portrack/src/gateway/backpressure/tracker.rs
@@ -29,10 +29,10 @@
 
 /// Statuses with which a server rejects a request and may ask for backoff.
 const REJECTED: [u16; 2] = [429, 503];
-/// For this long after a server had no room within its limit, it is not chosen for loading
-/// adapters: about as long as one is used.
+/// For this long after a server had no room within its limit, it is not chosen for loading adapters:
+/// about as long as an adapter is used.
 const FULL_FOR: Duration = Duration::from_millis(5_000);
-/// Each node resumes up to a tenth of the backoff later, and at most this much later.
+/// Each node resumes up to a tenth of the backoff later, but at most [`MAX_JITTER`].
 const JITTER_DIVISOR: u32 = 10;
 const MAX_JITTER: Duration = Duration::from_millis(250);
 
