--- a/crates/portrack/src/gateway/arrivals/cold.rs
+++ b/crates/portrack/src/gateway/arrivals/cold.rs
@@ -1,88 +1,91 @@
-//! What a server that may be cold gets in any second.
+//! Limits the arrivals per second at a server that may be cold.
 
 use crate::gateway::fleet::config::ColdStart;
 use crate::types::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time in which arrivals are counted.
+/// The window in which arrivals are counted.
 const SECOND: Duration = Duration::from_millis(1_000);
-/// Granters that may serve one server at the same time, by different views of the fleet.
+/// Number of granters that may serve one server at the same time, because daemons have different
+/// views of the fleet.
 const GRANTERS: f64 = 2.0;
-/// Daemons a side of a cut that may send to a cold server without a grant, one request a second each.
-const MOST_SHARERS: usize = 2;
-/// Of the bound, at most this share goes to daemons without a grant, on both sides of a cut.
-const SHARERS_PART: f64 = 0.25;
-/// Of what granters may give, this share goes to the one of a server that is taken for warm; the rest is
-/// for one that stands in for it, and for the first second of one that takes its place. The first may only
-/// be slow to answer and go on giving, so their parts must add up to the whole.
-const WARM_PART: f64 = 0.75;
-
-/// The most that one cold server may get in any second from everybody, and how it is dealt out.
+/// Number of daemons on each side of a network partition that may send to a cold server without a
+/// grant, one request per second each.
+const MAX_SHARERS: usize = 2;
+/// Maximum share of the bound for daemons without a grant, on both sides of a network partition.
+const SHARERS_SHARE: f64 = 0.25;
+/// Share of the grants for the first granter of a server believed to be warm. The rest is for a
+/// stand-in and for the first second of a successor. The first granter may only be slow to answer
+/// and go on granting, so the shares must add up to the whole.
+const WARM_SHARE: f64 = 0.75;
+
+/// Maximum number of arrivals per second at one cold server, and its division among senders.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    most: f64,
+    per_second: f64,
 }
 
 impl ColdBound {
-    /// The bound of servers that bear so much, with the deployment's ratio and slack.
+    /// The bound for servers with the given cold start, using the deployment's ratio and slack.
     pub fn new(start: &ColdStart, ratio: f64, slack: f64) -> Self {
-        Self { most: start.per_second * ratio + slack }
+        Self { per_second: start.per_second * ratio + slack }
     }
 
-    /// Daemons of one side of a cut that may send without a grant.
+    /// Number of daemons on one side of a network partition that may send without a grant.
     pub fn sharers(&self) -> usize {
-        ((self.most * SHARERS_PART / GRANTERS).floor() as usize).min(MOST_SHARERS)
+        ((self.per_second * SHARERS_SHARE / GRANTERS).floor() as usize).min(MAX_SHARERS)
     }
 
-    /// What one granter gives in a second to a server that may be cold.
-    fn while_cold(&self) -> usize {
-        ((self.granted() / GRANTERS).floor() as usize).max(1)
+    /// Grants per second of one granter to a server that may be cold.
+    fn cold_grants(&self) -> usize {
+        ((self.all_grants() / GRANTERS).floor() as usize).max(1)
     }
 
-    /// The same to one that is taken for warm, and may turn cold before anybody hears of it.
-    fn while_warm(&self) -> usize {
-        ((self.granted() * WARM_PART).floor() as usize).max(1)
+    /// Grants per second to a server believed to be warm. It may turn cold before anyone learns of
+    /// it.
+    fn warm_grants(&self) -> usize {
+        ((self.all_grants() * WARM_SHARE).floor() as usize).max(1)
     }
 
-    /// The same in a granter's first second, and from one that stands in for another.
-    fn while_new(&self) -> usize {
-        (self.granted().floor() as usize).saturating_sub(self.while_warm())
+    /// Grants per second of a granter in its first second, and of a stand-in.
+    fn first_second_grants(&self) -> usize {
+        (self.all_grants().floor() as usize).saturating_sub(self.warm_grants())
     }
 
-    /// What all granters together may give.
-    fn granted(&self) -> f64 {
-        self.most - self.sharers() as f64 * GRANTERS
+    /// Grants per second of all granters together.
+    fn all_grants(&self) -> f64 {
+        self.per_second - self.sharers() as f64 * GRANTERS
     }
 }
 
-/// What is believed of a server of a service with a cold start.
+/// The believed state of a server whose service has a cold start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdRule {
     /// The bound.
     pub bound: ColdBound,
-    /// It is cold, or in doubt.
+    /// Whether the server is cold or may be.
     pub cold: bool,
-    /// Another daemon comes before this one as its granter, and did not answer somebody in time: it may
-    /// go on giving its own part to others.
+    /// Whether another daemon precedes this one as granter but did not answer some daemon in time.
+    /// It may go on granting its own share to others.
     pub is_stand_in: bool,
 }
 
 impl ColdRule {
-    /// The most that this granter lets arrive in any second.
-    pub fn most(&self) -> usize {
+    /// Maximum number of arrivals that this granter allows in any second.
+    pub fn max_arrivals(&self) -> usize {
         match (self.cold, self.is_stand_in) {
-            // The first may take the server for warm.
-            (true, true) => self.bound.while_cold().min(self.bound.while_new().max(1)),
-            (true, false) => self.bound.while_cold(),
-            (false, true) => self.bound.while_new().max(1),
-            (false, false) => self.bound.while_warm(),
+            // The first granter may believe that the server is warm.
+            (true, true) => self.bound.cold_grants().min(self.bound.first_second_grants().max(1)),
+            (true, false) => self.bound.cold_grants(),
+            (false, true) => self.bound.first_second_grants().max(1),
+            (false, false) => self.bound.warm_grants(),
         }
     }
 }
 
-/// Arrivals at one server. A request counts from its grant until a second after it is told that it has
-/// begun there: however late it was sent, it is counted in the second in which it arrived.
+/// Counts the arrivals at one server. A request counts from its grant until one second after its
+/// start is reported, so it is counted in the second in which it arrived, however late it was sent.
 #[derive(Debug, Clone)]
 pub struct ColdWindow {
     since: Time,
@@ -90,52 +93,53 @@
 }
 
 impl ColdWindow {
-    /// Of a granter that does not know what others gave before `since`.
+    /// Creates the window of a granter that does not know the grants given by others before
+    /// `since`.
     pub fn new(since: Time) -> Self {
         Self { since, arrived: VecDeque::new() }
     }
 
-    /// A request has certainly arrived by now.
+    /// Records that a request has arrived by now.
     pub fn arrived(&mut self, now: Time) {
         self.arrived.push_back(now);
     }
 
-    /// Requests that count, besides `under_way` of which nothing is known yet.
-    fn count(&mut self, now: Time, under_way: usize) -> usize {
+    /// Number of requests that count, including `in_flight` ones without a report yet.
+    fn count(&mut self, now: Time, in_flight: usize) -> usize {
         while self.arrived.front().is_some_and(|at| now.since(*at) >= SECOND) {
             self.arrived.pop_front();
         }
-        self.arrived.len() + under_way
+        self.arrived.len() + in_flight
     }
 
-    /// The most that may arrive in a second now.
-    fn most(&self, now: Time, rule: &ColdRule) -> usize {
+    /// Maximum number of arrivals allowed per second at the moment.
+    fn max_arrivals(&self, now: Time, rule: &ColdRule) -> usize {
         match (now.since(self.since) < SECOND, rule.cold) {
             (true, true) => 0,
-            (true, false) => rule.bound.while_new(),
-            (false, _) => rule.most(),
+            (true, false) => rule.bound.first_second_grants(),
+            (false, _) => rule.max_arrivals(),
         }
     }
 
-    /// True if one more may be sent.
-    pub fn has_room(&mut self, now: Time, under_way: usize, rule: &ColdRule) -> bool {
-        self.count(now, under_way) < self.most(now, rule)
+    /// Returns whether one more request may be sent.
+    pub fn has_room(&mut self, now: Time, in_flight: usize, rule: &ColdRule) -> bool {
+        self.count(now, in_flight) < self.max_arrivals(now, rule)
     }
 
-    /// How long the last of `waiting` requests waits for its turn.
+    /// How long the last of `waiting` requests has to wait.
     pub fn wait(
         &mut self,
         now: Time,
-        under_way: usize,
+        in_flight: usize,
         waiting: usize,
         rule: &ColdRule,
     ) -> Duration {
-        let new_for = SECOND.saturating_sub(now.since(self.since));
-        let unknown = match self.has_room(now, under_way + waiting.saturating_sub(1), rule) {
+        let unknown_for = SECOND.saturating_sub(now.since(self.since));
+        let initial = match self.has_room(now, in_flight + waiting.saturating_sub(1), rule) {
             true => Duration::ZERO,
-            false => new_for,
+            false => unknown_for,
         };
-        let over = (self.count(now, under_way) + waiting).saturating_sub(rule.most());
-        unknown + SECOND.mul_f64(over as f64 / rule.most() as f64)
+        let excess = (self.count(now, in_flight) + waiting).saturating_sub(rule.max_arrivals());
+        initial + SECOND.mul_f64(excess as f64 / rule.max_arrivals() as f64)
     }
 }
--- a/crates/portrack/src/gateway/arrivals/fairness.rs
+++ b/crates/portrack/src/gateway/arrivals/fairness.rs
@@ -1,60 +1,66 @@
-//! Shares of organisations where too many wait.
+//! Fair shares among organisations when too many requests wait.
 
 use crate::gateway::admission::OrganisationHash;
 use std::collections::{BTreeMap, HashMap};
 
-/// The place of the waiting request that has to go: the last of the organisation that has most of them,
-/// by the order given with each; the newest, which comes last, if none has several. Requests of nobody
-/// known are no organisation's: together they would always have most.
+/// Returns the index of the waiting request to evict: the last one, by the given order, of the
+/// organisation with the most waiting requests, or the newest (last) one if no organisation has
+/// several. Requests without an organisation are not counted as one, since together they would
+/// always have the most.
 pub fn choose_evicted<K: Ord>(waiting: &[(Option<OrganisationHash>, K)]) -> usize {
     let mut counts: BTreeMap<OrganisationHash, usize> = BTreeMap::new();
-    for mark in waiting.iter().filter_map(|(mark, _)| *mark) {
-        *counts.entry(mark).or_default() += 1;
+    for organisation in waiting.iter().filter_map(|(organisation, _)| *organisation) {
+        *counts.entry(organisation).or_default() += 1;
     }
     let newest = waiting.len().saturating_sub(1);
-    let newest_mark = waiting.last().and_then(|(mark, _)| *mark);
-    let most = counts.into_iter().max_by_key(|(mark, count)| (*count, newest_mark == Some(*mark)));
+    let newest_organisation = waiting.last().and_then(|(organisation, _)| *organisation);
+    let most = counts
+        .into_iter()
+        .max_by_key(|(organisation, count)| (*count, newest_organisation == Some(*organisation)));
     let Some((most, _)) = most.filter(|(_, count)| *count > 1) else { return newest };
-    let places = waiting.iter().enumerate();
-    let of_most = places.filter(|(_, (mark, _))| *mark == Some(most));
-    let last = of_most.max_by(|(a, (_, x)), (b, (_, y))| x.cmp(y).then(a.cmp(b)));
-    last.map_or(newest, |(place, _)| place)
+    let indices = waiting.iter().enumerate();
+    let candidates = indices.filter(|(_, (organisation, _))| *organisation == Some(most));
+    let last = candidates.max_by(|(a, (_, x)), (b, (_, y))| x.cmp(y).then(a.cmp(b)));
+    last.map_or(newest, |(index, _)| index)
 }
 
-/// Equal shares of a server for organisations that wait for it, by start-time fair queueing: each
-/// request begins, in the work done so far, when the one before it of its organisation is over.
+/// Start-time fair queueing of the organisations that wait for a server. The start tag of a request
+/// is the finish tag of the previous request of its organisation, in units of work done.
 #[derive(Debug, Clone, Default)]
 pub struct FairShares {
-    done: f64,
-    ends: HashMap<OrganisationHash, f64>,
+    virtual_time: f64,
+    finish_tags: HashMap<OrganisationHash, f64>,
 }
 
 impl FairShares {
-    /// Where a request of so much work begins.
-    pub fn begin(&mut self, organisation: Option<OrganisationHash>, work: f64) -> f64 {
-        let Some(organisation) = organisation else { return self.done };
-        let done = self.done;
-        self.ends.retain(|_, end| *end > done);
-        let end = self.ends.entry(organisation).or_insert(done);
-        let begins = *end;
+    /// Assigns a start tag to a request with this much work.
+    pub fn start_tag(&mut self, organisation: Option<OrganisationHash>, work: f64) -> f64 {
+        let Some(organisation) = organisation else { return self.virtual_time };
+        let virtual_time = self.virtual_time;
+        self.finish_tags.retain(|_, end| *end > virtual_time);
+        let end = self.finish_tags.entry(organisation).or_insert(virtual_time);
+        let start_tag = *end;
         *end += work;
-        begins
+        start_tag
     }
 
-    /// A request has its turn.
-    pub fn turn(&mut self, begins: f64) {
-        self.done = self.done.max(begins);
+    /// Advances the virtual time to the start tag of a request being served.
+    pub fn advance(&mut self, start_tag: f64) {
+        self.virtual_time = self.virtual_time.max(start_tag);
     }
 
-    /// A request is given up that had not had its turn.
-    pub fn give_up(&mut self, organisation: Option<OrganisationHash>, work: f64) {
-        if let Some(end) = organisation.and_then(|mark| self.ends.get_mut(&mark)) {
+    /// Withdraws a request that was not served.
+    pub fn withdraw(&mut self, organisation: Option<OrganisationHash>, work: f64) {
+        if let Some(end) =
+            organisation.and_then(|organisation| self.finish_tags.get_mut(&organisation))
+        {
             *end -= work;
         }
     }
 
-    /// How many whole rounds of `work` a request comes behind what is due now; before it if negative.
-    pub fn round(&self, begins: f64, work: f64) -> i64 {
-        ((begins - self.done) / work.max(1.0)).floor() as i64
+    /// Number of whole rounds of `work` that a request lies after the virtual time; negative if
+    /// before.
+    pub fn rounds_ahead(&self, start_tag: f64, work: f64) -> i64 {
+        ((start_tag - self.virtual_time) / work.max(1.0)).floor() as i64
     }
 }
--- a/crates/portrack/src/gateway/arrivals/grants.rs
+++ b/crates/portrack/src/gateway/arrivals/grants.rs
@@ -1,12 +1,13 @@
-//! Asks the granters of servers on behalf of requests, and is the granter of some for other daemons.
+//! Requests grants from the granters of servers, and acts as the granter of some servers for other
+//! daemons.
 
-use super::asks::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
+use super::fallback_shares::FallbackShares;
 use super::granter::{Granter, ServerRule};
 use super::guard::{GrantGuard, WaitingGrant};
 use super::message::{GrantAnswer, GrantEnd, GrantMessage, GrantReply, GrantRequest};
-use super::pace::PrefillRate;
+use super::pending_calls::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
+use super::prefill_rate::PrefillRate;
 use super::quantile::Quantile;
-use super::share::FallbackShares;
 use crate::gateway::admission::{FreshnessProof, OrganisationHash};
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::backpressure::tracker::Backpressure;
@@ -27,84 +28,85 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A granter once found is asked for so long before it is looked for again; the daemons known change
-/// with each heartbeat.
-const GRANTER_KEPT: Duration = Duration::from_millis(300);
-/// Between log lines of the pace of reading.
-const PACES_LOGGED: Duration = Duration::from_secs(10);
-/// How long a step of an engine takes, before any stream was seen: slow ones take so long.
-const FIRST_STEP_MS: f64 = 20.0;
-/// Streams disturbed by reading are no measure of the usual time of an event.
-const EVENT_SHARE: f64 = 0.3;
+/// How long the granter of a server is cached. The set of known daemons changes with each
+/// heartbeat.
+const GRANTER_CACHED_FOR: Duration = Duration::from_millis(300);
+/// Interval between log lines with the prefill rates.
+const RATES_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Assumed duration of an engine step before any stream was observed; typical of slow engines.
+const DEFAULT_STEP_MS: f64 = 20.0;
+/// A low quantile, because streams delayed by prefill say nothing about the usual gap between
+/// events.
+const EVENT_GAP_QUANTILE: f64 = 0.3;
 
-/// What a request needs of a server.
+/// What a request requires of a grant.
 #[derive(Debug, Clone)]
-pub struct GrantNeed {
-    /// Whose request it is, if callers show keys.
+pub struct GrantRequirements {
+    /// The request's organisation, if callers present keys.
     pub organisation: Option<OrganisationHash>,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub tokens: u32,
-    /// Its rank, 0 highest.
+    /// Priority, 0 is highest.
     pub priority: u8,
-    /// It must be sent within this to be in time.
-    pub left: Duration,
-    /// Nobody waits for its answer if it is sent later than this.
-    pub most: Duration,
-    /// The longest pause of a stream in time.
-    pub gap: Option<Duration>,
+    /// The request must be sent within this to meet its objective.
+    pub time_left: Duration,
+    /// The caller no longer waits for the answer if the request is sent later than this.
+    pub max_wait: Duration,
+    /// The longest gap between events of a stream that meets the objective.
+    pub max_gap: Option<Duration>,
 }
 
-/// What came of asking.
+/// The outcome of requesting a grant.
 pub enum GrantOutcome {
-    /// It may be sent.
+    /// The request may be sent.
     Granted(GrantGuard),
-    /// It has to wait for its turn.
+    /// The request has to wait.
     Waits(WaitingGrant),
-    /// It is not to be sent; when to come back.
+    /// The request must not be sent; the caller may retry after this.
     Refused(Duration),
-    /// Nobody answers.
+    /// No granter answered.
     Unanswered,
 }
 
-/// What grants are counted in.
+/// Metrics of grants.
 pub struct GrantMetrics {
-    /// Asks by what came of them.
+    /// Requests for a grant by outcome.
     pub outcomes: IntCounterVec,
-    /// From the ask to the grant, in seconds.
+    /// Time from the request to the grant, in seconds.
     pub waits: Histogram,
 }
 
-/// What grants hang on.
+/// Dependencies of [`Grants`].
 pub struct GrantDeps {
     /// The monotonic clock.
     pub clock: Rc<dyn Clock>,
-    /// What is known of the fleet.
+    /// The known state of the fleet.
     pub view: Rc<RefCell<FleetView>>,
-    /// How fresh that is.
+    /// Proof of how fresh the view is.
     pub proof: Rc<FreshnessProof>,
     /// Which servers may be cold.
     pub coldness: Rc<RefCell<ColdStartTracker>>,
     /// Load of the servers.
     pub loads: Rc<LoadTable>,
-    /// What servers say of how much they take.
+    /// Limits and backoffs that servers have stated.
     pub backpressure: Rc<Backpressure>,
-    /// For datagrams.
+    /// Sends datagrams.
     pub messenger: Rc<Messenger>,
     /// This daemon.
     pub me: DaemonInfo,
-    /// Those that may be granters.
+    /// The daemons that may be granters.
     pub daemons: Rc<RefCell<Daemons>>,
-    /// Which hall is where.
+    /// The regions of the data halls.
     pub regions: Regions,
-    /// Of what a cold server bears, it may get so many times as much.
+    /// Factor by which arrivals at a cold server may exceed its stated rate.
     pub cold_ratio: f64,
-    /// Requests that it may get besides in a second.
+    /// Requests per second that a cold server may receive in addition.
     pub cold_slack: f64,
-    /// What is counted.
+    /// Metrics.
     pub metrics: GrantMetrics,
 }
 
-/// A server of which this daemon is the granter.
+/// A server for which this daemon is the granter.
 struct GrantedServer {
     id: Rc<str>,
     born: Option<u64>,
@@ -112,13 +114,13 @@
 }
 
 impl GrantedServer {
-    /// A server for which nothing was granted yet.
+    /// Creates the state of a server without any grants.
     fn new(now: Time, backend: &Backend) -> Self {
         Self { id: backend.id.clone(), born: backend.born, granter: Granter::new(now) }
     }
 }
 
-/// Grants as one daemon sees them.
+/// Requests and gives grants on behalf of this daemon.
 pub struct Grants {
     pub(super) clock: Rc<dyn Clock>,
     pub(super) view: Rc<RefCell<FleetView>>,
@@ -133,106 +135,110 @@
     pub(super) cold_ratio: f64,
     pub(super) cold_slack: f64,
     metrics: GrantMetrics,
-    /// Loads of servers are known late.
+    /// Whether the loads of servers are known only with a delay.
     pub loads_are_delayed: Cell<bool>,
-    /// Daemons known of lately, silent ones and this one included.
-    pub(super) known: Cell<usize>,
+    /// Number of recently known daemons, including silent ones and this one.
+    pub(super) known_daemons: Cell<usize>,
     pub(super) shares: RefCell<FallbackShares>,
-    pub(super) asks: PendingCalls<GrantAnswer>,
+    pub(super) calls: PendingCalls<GrantAnswer>,
     servers: RefCell<HashMap<u32, GrantedServer>>,
-    paces: RefCell<HashMap<Rc<str>, PrefillRate>>,
-    events: RefCell<HashMap<Rc<str>, Quantile>>,
-    /// Granters found lately, by the server and whether it names a limit.
-    found: RefCell<HashMap<(u32, bool), (Time, SocketAddr)>>,
-    paces_logged: Cell<Time>,
+    prefill_rates: RefCell<HashMap<Rc<str>, PrefillRate>>,
+    event_gaps: RefCell<HashMap<Rc<str>, Quantile>>,
+    /// Recently found granters, by server and whether it states a limit.
+    granters: RefCell<HashMap<(u32, bool), (Time, SocketAddr)>>,
+    rates_logged_at: Cell<Time>,
 }
 
 impl Grants {
-    /// Nothing granted yet.
-    pub fn new(parts: GrantDeps) -> Self {
-        let started_at = parts.clock.now();
+    /// Creates the state with nothing granted.
+    pub fn new(deps: GrantDeps) -> Self {
+        let started_at = deps.clock.now();
         Self {
-            clock: parts.clock,
-            view: parts.view,
-            proof: parts.proof,
-            coldness: parts.coldness,
-            loads: parts.loads,
-            backpressure: parts.backpressure,
-            messenger: parts.messenger,
-            me: parts.me,
-            daemons: parts.daemons,
-            regions: parts.regions,
-            cold_ratio: parts.cold_ratio,
-            cold_slack: parts.cold_slack,
-            metrics: parts.metrics,
+            clock: deps.clock,
+            view: deps.view,
+            proof: deps.proof,
+            coldness: deps.coldness,
+            loads: deps.loads,
+            backpressure: deps.backpressure,
+            messenger: deps.messenger,
+            me: deps.me,
+            daemons: deps.daemons,
+            regions: deps.regions,
+            cold_ratio: deps.cold_ratio,
+            cold_slack: deps.cold_slack,
+            metrics: deps.metrics,
             loads_are_delayed: Cell::new(false),
-            known: Cell::new(1),
+            known_daemons: Cell::new(1),
             shares: RefCell::new(FallbackShares::new(started_at)),
-            asks: PendingCalls::default(),
+            calls: PendingCalls::default(),
             servers: RefCell::default(),
-            paces: RefCell::default(),
-            events: RefCell::default(),
-            found: RefCell::default(),
-            paces_logged: Cell::new(started_at),
+            prefill_rates: RefCell::default(),
+            event_gaps: RefCell::default(),
+            granters: RefCell::default(),
+            rates_logged_at: Cell::new(started_at),
         }
     }
 
-    /// Takes in which daemons are known, silent ones among them.
+    /// Updates the known daemons, including silent ones.
     pub fn update_daemons(&self, daemons: impl Iterator<Item = SocketAddr>) {
         let daemons: Vec<SocketAddr> = daemons.collect();
-        self.known.set(daemons.len() + 1);
+        self.known_daemons.set(daemons.len() + 1);
         let daemons = daemons.into_iter();
         self.shares.borrow_mut().update_daemons(self.clock.now(), daemons);
     }
 
-    /// The granter of a server, as it was found a moment ago or is found now.
+    /// The granter of a server, from the cache if it was found recently.
     fn granter(&self, now: Time, backend: &Backend) -> Option<SocketAddr> {
         let key = (backend.incarnation_hash(), self.is_limited(backend));
-        if let Some((at, granter)) = self.found.borrow().get(&key)
-            && now.since(*at) < GRANTER_KEPT
+        if let Some((at, granter)) = self.granters.borrow().get(&key)
+            && now.since(*at) < GRANTER_CACHED_FOR
         {
             return Some(*granter);
         }
         let granter = self.first_granter(backend, |daemon| {
-            !self.asks.is_avoided(now, daemon.address) && !self.loads.is_hall_silent(&daemon.hall)
+            !self.calls.is_avoided(now, daemon.address) && !self.loads.is_hall_silent(&daemon.hall)
         })?;
-        self.found.borrow_mut().insert(key, (now, granter));
+        self.granters.borrow_mut().insert(key, (now, granter));
         Some(granter)
     }
 
-    /// Asks whether a request may be sent to a server.
-    pub async fn ask(self: &Rc<Self>, backend: &Backend, need: &GrantNeed) -> GrantOutcome {
+    /// Requests permission to send a request to a server.
+    pub async fn ask(
+        self: &Rc<Self>,
+        backend: &Backend,
+        requirements: &GrantRequirements,
+    ) -> GrantOutcome {
         let asked_at = self.clock.now();
         let server = backend.incarnation_hash();
         let Some(granter) = self.granter(asked_at, backend) else {
             return GrantOutcome::Unanswered;
         };
-        let (ask, mut answers) = self.asks.open();
-        let reader = (backend.service.clone(), need.tokens);
-        let guard = GrantGuard::new(self.clone(), granter, server, ask, reader);
-        let question = GrantRequest {
-            ask,
+        let (call, mut answers) = self.calls.open();
+        let prefill = (backend.service.clone(), requirements.tokens);
+        let guard = GrantGuard::new(self.clone(), granter, server, call, prefill);
+        let request = GrantRequest {
+            ask: call,
             server,
-            organisation: need.organisation,
-            tokens: need.tokens,
-            priority: need.priority,
-            left_ms: need.left.as_millis() as u32,
-            most_ms: need.most.as_millis() as u32,
-            gap_ms: need.gap.map_or(0, |gap| gap.as_millis() as u16),
-            event_ms: need.gap.map_or(0, |_| self.event_ms(&backend.service)),
+            organisation: requirements.organisation,
+            tokens: requirements.tokens,
+            priority: requirements.priority,
+            left_ms: requirements.time_left.as_millis() as u32,
+            most_ms: requirements.max_wait.as_millis() as u32,
+            gap_ms: requirements.max_gap.map_or(0, |gap| gap.as_millis() as u16),
+            event_ms: requirements.max_gap.map_or(0, |_| self.event_ms(&backend.service)),
             limit: self.backpressure.report(server),
         };
-        self.send(granter, GrantMessage::Ask(question));
-        // The way to another region and back takes some of the time.
-        let patience = match self.regions.is_own(&backend.hall) {
+        self.send(granter, GrantMessage::Ask(request));
+        // The round trip to another region takes part of the time.
+        let timeout = match self.regions.is_own(&backend.hall) {
             true => ANSWER_TIMEOUT,
             false => ANSWER_TIMEOUT * 2,
         };
-        let answer = next_answer(&mut answers, patience).await;
-        // A daemon that stood still meanwhile does not know how old the answer is.
-        let in_time = self.clock.now().since(asked_at) < patience * 2;
+        let answer = next_answer(&mut answers, timeout).await;
+        // A daemon that was suspended in the meantime cannot tell how old the answer is.
+        let in_time = self.clock.now().since(asked_at) < timeout * 2;
         let answer = answer.filter(|_| in_time);
-        self.take_answer(backend, guard, answers, answer)
+        self.handle_answer(backend, guard, answers, answer)
     }
 
     /// Waits for the second answer.
@@ -240,18 +246,19 @@
         &self,
         backend: &Backend,
         mut waiting: WaitingGrant,
-        most: Duration,
+        max_wait: Duration,
     ) -> GrantOutcome {
-        let began = self.clock.now();
-        let patience = most + ANSWER_TIMEOUT;
-        let answer = next_answer(&mut waiting.answers, patience).await;
-        // A daemon that stood still meanwhile would send all that waited at once, long after the grants.
-        let in_time = self.clock.now().since(began) < patience + ANSWER_TIMEOUT;
+        let started_at = self.clock.now();
+        let timeout = max_wait + ANSWER_TIMEOUT;
+        let answer = next_answer(&mut waiting.answers, timeout).await;
+        // A daemon that was suspended in the meantime would send all waiting requests at once, long
+        // after they were granted.
+        let in_time = self.clock.now().since(started_at) < timeout + ANSWER_TIMEOUT;
         let answer = answer.filter(|answer| in_time && !matches!(answer, GrantAnswer::Waits(_)));
-        self.take_answer(backend, waiting.guard, waiting.answers, answer)
+        self.handle_answer(backend, waiting.guard, waiting.answers, answer)
     }
 
-    fn take_answer(
+    fn handle_answer(
         &self,
         backend: &Backend,
         guard: GrantGuard,
@@ -260,11 +267,11 @@
     ) -> GrantOutcome {
         let now = self.clock.now();
         let millis = |millis: u32| Duration::from_millis(millis.into());
-        let backlog = |after: u32| self.loads.reads_until(&backend.id, now + millis(after));
-        let (outcome, grasp) = match answer {
-            Some(GrantAnswer::Granted(reading)) => {
-                backlog(reading);
-                guard.reads_alone(reading == 0);
+        let backlog = |after: u32| self.loads.set_backlog_until(&backend.id, now + millis(after));
+        let (label, outcome) = match answer {
+            Some(GrantAnswer::Granted(prefill_ms)) => {
+                backlog(prefill_ms);
+                guard.set_prefill_alone(prefill_ms == 0);
                 guard.granted(now);
                 ("granted", GrantOutcome::Granted(guard))
             }
@@ -282,50 +289,53 @@
                 ("refused", GrantOutcome::Refused(millis(after)))
             }
             None => {
-                // Once in the time for which a daemon is left alone.
-                if !self.asks.is_avoided(now, guard.granter) {
+                // Logged once per period in which the daemon is avoided.
+                if !self.calls.is_avoided(now, guard.granter) {
                     log::warn!(server = &*backend.id, granter:% = guard.granter; "grant_unanswered");
                 }
-                self.asks.avoid(now, guard.granter);
-                self.found.borrow_mut().clear();
+                self.calls.avoid(now, guard.granter);
+                self.granters.borrow_mut().clear();
                 ("unanswered", GrantOutcome::Unanswered)
             }
         };
-        self.metrics.outcomes.with_label_values(&[outcome]).inc();
-        grasp
+        self.metrics.outcomes.with_label_values(&[label]).inc();
+        outcome
     }
 
-    /// How long a server of a service reads a prompt of average length; zero if that is not known.
-    pub fn reads(&self, service: &Rc<str>) -> Duration {
-        self.paces.borrow().get(service).map_or(Duration::ZERO, PrefillRate::reads)
+    /// Mean prefill time of a prompt on a server of the service; zero if unknown.
+    pub fn mean_prefill_time(&self, service: &Rc<str>) -> Duration {
+        self.prefill_rates
+            .borrow()
+            .get(service)
+            .map_or(Duration::ZERO, PrefillRate::mean_prefill_time)
     }
 
-    /// A prompt was read within so long by a server that was reading nothing else.
-    pub(super) fn note_read(&self, service: &Rc<str>, tokens: u32, took: Duration) {
-        let mut paces = self.paces.borrow_mut();
-        let pace = paces.entry(service.clone()).or_default();
-        pace.observe(tokens, took.as_secs_f64() * 1_000.0);
+    /// Records the prefill time of a prompt on a server that had no other prefill.
+    pub(super) fn record_prefill(&self, service: &Rc<str>, tokens: u32, took: Duration) {
+        let mut rates = self.prefill_rates.borrow_mut();
+        let rate = rates.entry(service.clone()).or_default();
+        rate.observe(tokens, took.as_secs_f64() * 1_000.0);
     }
 
-    /// Now and then tells what is reckoned with, and forgets servers that are gone.
-    fn look_back(&self, now: Time) {
-        if now.since(self.paces_logged.get()) < PACES_LOGGED {
+    /// Periodically logs the prefill rates and drops removed servers.
+    fn log_rates(&self, now: Time) {
+        if now.since(self.rates_logged_at.get()) < RATES_LOG_INTERVAL {
             return;
         }
-        self.paces_logged.set(now);
+        self.rates_logged_at.set(now);
         let view = self.view.borrow();
         self.servers.borrow_mut().retain(|_, granted| view.backend(&granted.id).is_some());
-        for (service, pace) in &*self.paces.borrow() {
-            let event = self.events.borrow().get(service).map_or(0.0, Quantile::get);
+        for (service, rate) in &*self.prefill_rates.borrow() {
+            let event = self.event_gaps.borrow().get(service).map_or(0.0, Quantile::get);
             log::info!(
-                service = &**service, tokens_per_ms = pace.get(), event_ms = event,
-                reads_ms = pace.reads().as_millis() as u64; "reading_pace"
+                service = &**service, tokens_per_ms = rate.get(), event_ms = event,
+                reads_ms = rate.mean_prefill_time().as_millis() as u64; "reading_pace"
             );
         }
     }
 
-    /// A request waited so long for its grant.
-    pub fn waited(&self, wait: Duration) {
+    /// Records how long a request waited for its grant.
+    pub fn observe_wait(&self, wait: Duration) {
         self.metrics.waits.observe(wait.as_secs_f64());
     }
 
@@ -335,17 +345,17 @@
             let engine = view.service(service).and_then(|service| service.engine.clone());
             engine.map_or(1, |engine| engine.event_tokens.max(1))
         };
-        let mut events = self.events.borrow_mut();
-        let event = events
-            .entry(service.clone())
-            .or_insert_with(|| Quantile::new(EVENT_SHARE, f64::from(first()) * FIRST_STEP_MS));
+        let mut gaps = self.event_gaps.borrow_mut();
+        let event = gaps.entry(service.clone()).or_insert_with(|| {
+            Quantile::new(EVENT_GAP_QUANTILE, f64::from(first()) * DEFAULT_STEP_MS)
+        });
         event.get().round() as u16
     }
 
-    /// The events of a stream came so far apart on average.
-    pub fn record_event_gap(&self, service: &Rc<str>, apart: Duration) {
-        if let Some(event) = self.events.borrow_mut().get_mut(service) {
-            event.observe(apart.as_secs_f64() * 1_000.0);
+    /// Records the mean gap between the events of a stream.
+    pub fn record_event_gap(&self, service: &Rc<str>, gap: Duration) {
+        if let Some(event) = self.event_gaps.borrow_mut().get_mut(service) {
+            event.observe(gap.as_secs_f64() * 1_000.0);
         }
     }
 
@@ -357,55 +367,55 @@
         }
     }
 
-    /// Takes in a message of another daemon, or of this one.
+    /// Handles a message from another daemon or from this one.
     pub fn on_message(&self, message: GrantMessage, from: SocketAddr) {
         match message {
-            GrantMessage::Ask(ask) => self.on_ask(ask, from),
-            GrantMessage::Answer(ask, answer) => self.asks.answer(ask, answer),
-            GrantMessage::Ended(server, ask, end) => {
-                let id = CallId { from, call: ask };
+            GrantMessage::Ask(request) => self.on_ask(request, from),
+            GrantMessage::Answer(call, answer) => self.calls.answer(call, answer),
+            GrantMessage::Ended(server, call, end) => {
+                let id = CallId { from, call };
                 if matches!(end, GrantEnd::Lost | GrantEnd::Unreachable) {
-                    self.doubt(server);
+                    self.assume_cold(server);
                 }
-                self.at(server, false, |now, granter, rule, pace| {
-                    granter.ended(now, id, end, rule, pace)
+                self.with_granter(server, false, |now, granter, rule, rate| {
+                    granter.ended(now, id, end, rule, rate)
                 });
             }
         }
     }
 
-    /// Takes in what another daemon knows of servers that name limits; what it says of unknown ones is passed over.
+    /// Handles limits that other daemons know of. Reports about unknown servers are ignored.
     pub fn on_limits(&self, reports: &[LimitReport]) {
         for report in reports {
-            let before = self.granted_id(report.server);
+            let before = self.granted_server_id(report.server);
             if let Some(backend) = self.backend(report.server, before.as_deref()) {
                 self.backpressure.on_report(&backend, report);
             }
         }
     }
 
-    /// Who does not know the server leaves the asking daemon to itself.
-    fn on_ask(&self, ask: GrantRequest, from: SocketAddr) {
-        if let Some(report) = &ask.limit {
+    /// A request about an unknown server is not answered, so the requesting daemon decides alone.
+    fn on_ask(&self, request: GrantRequest, from: SocketAddr) {
+        if let Some(report) = &request.limit {
             self.on_limits(std::slice::from_ref(report));
         }
-        self.at(ask.server, true, |now, granter, rule, pace| {
-            granter.ask(now, from, ask, rule, pace.get())
+        self.with_granter(request.server, true, |now, granter, rule, rate| {
+            granter.ask(now, from, request, rule, rate.get())
         });
     }
 
-    /// Has the granter of a server decide, and tells what it decided.
-    fn at(
+    /// Lets the granter of a server decide, and sends its replies.
+    fn with_granter(
         &self,
         server: u32,
-        begin: bool,
+        create: bool,
         decide: impl FnOnce(Time, &mut Granter, &ServerRule, &mut PrefillRate) -> Vec<GrantReply>,
     ) {
         let now = self.clock.now();
-        let orders = {
+        let replies = {
             let mut servers = self.servers.borrow_mut();
             let before = servers.get(&server).map(|granted| granted.id.clone());
-            if before.is_none() && !begin {
+            if before.is_none() && !create {
                 return;
             }
             let Some(backend) = self.backend(server, before.as_deref()) else {
@@ -418,41 +428,44 @@
                 *granted = fresh();
             }
             let rule = self.rule(now, &backend);
-            let mut paces = self.paces.borrow_mut();
-            let pace = paces.entry(backend.service.clone()).or_default();
-            decide(now, &mut granted.granter, &rule, pace)
+            let mut rates = self.prefill_rates.borrow_mut();
+            let rate = rates.entry(backend.service.clone()).or_default();
+            decide(now, &mut granted.granter, &rule, rate)
         };
-        self.carry_out(orders);
+        self.send_replies(replies);
     }
 
-    /// The id of a server that this daemon has granted arrivals at.
-    fn granted_id(&self, server: u32) -> Option<Rc<str>> {
+    /// The id of a server for which this daemon gives grants.
+    fn granted_server_id(&self, server: u32) -> Option<Rc<str>> {
         self.servers.borrow().get(&server).map(|granted| granted.id.clone())
     }
 
-    /// A server that broke off or could not be reached may have started again.
-    fn doubt(&self, server: u32) {
-        if let Some(id) = self.granted_id(server) {
+    /// A server that closed the connection or was unreachable may have restarted.
+    fn assume_cold(&self, server: u32) {
+        if let Some(id) = self.granted_server_id(server) {
             self.coldness.borrow_mut().assume_cold(self.clock.now(), &id);
         }
     }
 
-    fn carry_out(&self, orders: Vec<GrantReply>) {
-        for (id, answer) in orders {
+    fn send_replies(&self, replies: Vec<GrantReply>) {
+        for (id, answer) in replies {
             self.send(id.from, GrantMessage::Answer(id.call, answer));
         }
     }
 
-    /// Logs what is reckoned with; lets those have their turn that wait, and forgets grants whose end was never told.
+    /// Logs prefill rates, serves waiting requests, and expires grants whose end was never
+    /// reported.
     pub fn tick(&self) {
-        self.look_back(self.clock.now());
+        self.log_rates(self.clock.now());
         let busy: Vec<u32> = {
             let servers = self.servers.borrow();
             let busy = servers.iter().filter(|(_, granted)| !granted.granter.is_idle());
             busy.map(|(server, _)| *server).collect()
         };
         for server in busy {
-            self.at(server, false, |now, granter, rule, pace| granter.tick(now, rule, pace.get()));
+            self.with_granter(server, false, |now, granter, rule, rate| {
+                granter.tick(now, rule, rate.get())
+            });
         }
     }
 }
--- a/crates/portrack/src/gateway/arrivals/guard.rs
+++ b/crates/portrack/src/gateway/arrivals/guard.rs
@@ -1,4 +1,4 @@
-//! A grant that a request has.
+//! The grant that a request holds.
 
 use super::grants::Grants;
 use super::message::{GrantAnswer, GrantEnd, GrantMessage};
@@ -9,23 +9,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A grant to a server that names a limit is used within this, or asked for anew: a node that stood still would send all
-/// that it had been granted at once.
-const GRANT_LASTS: Duration = Duration::from_millis(1_000);
+/// A grant for a server that states a limit must be used within this or requested again. Otherwise
+/// a suspended node would send everything that it was granted at once.
+const GRANT_TTL: Duration = Duration::from_millis(1_000);
 
-/// A grant, or a place among those that wait for one; given back when dropped.
+/// A grant or a queue position, returned when dropped.
 pub struct GrantGuard {
     grants: Rc<Grants>,
-    /// Who gave it.
+    /// The daemon that gave the grant.
     pub granter: SocketAddr,
     server: u32,
-    ask: u32,
-    /// The service that reads the prompt, and its tokens.
-    reader: (Rc<str>, u32),
+    call: u32,
+    /// The service, and the number of prompt tokens to prefill.
+    prefill: (Rc<str>, u32),
     alone: Cell<bool>,
     granted_at: Cell<Time>,
     sent_at: Cell<Time>,
-    /// What is told of it when it is dropped; `None` if all is told.
+    /// The end to report on drop; `None` if it was reported already.
     end: Cell<Option<GrantEnd>>,
 }
 
@@ -34,78 +34,79 @@
         grants: Rc<Grants>,
         granter: SocketAddr,
         server: u32,
-        ask: u32,
-        reader: (Rc<str>, u32),
+        call: u32,
+        prefill: (Rc<str>, u32),
     ) -> Self {
         let (granted_at, sent_at) = (Cell::default(), Cell::default());
         let (alone, end) = (Cell::new(false), Cell::new(Some(GrantEnd::Unsent)));
-        Self { grants, granter, server, ask, reader, alone, granted_at, sent_at, end }
+        Self { grants, granter, server, call, prefill, alone, granted_at, sent_at, end }
     }
 
-    /// It is granted now.
+    /// Records the time of the grant.
     pub(super) fn granted(&self, now: Time) {
         self.granted_at.set(now);
     }
 
-    /// True if a request may still be sent on it: the server's limit has been given to others since.
+    /// Returns whether the grant may still be used. An old one may not: the server's limit has been
+    /// granted to others since.
     pub fn is_fresh(&self, now: Time) -> bool {
-        now.since(self.granted_at.get()) < GRANT_LASTS
+        now.since(self.granted_at.get()) < GRANT_TTL
     }
 
-    /// The server was reading nothing else when it was granted.
-    pub(super) fn reads_alone(&self, alone: bool) {
+    /// Records whether the server had no other prefill to do when the grant was given.
+    pub(super) fn set_prefill_alone(&self, alone: bool) {
         self.alone.set(alone);
     }
 
-    /// The request is being sent: from here on it may have arrived.
+    /// Records that the request is being sent. From now on it may have arrived.
     pub fn sent(&self, now: Time) {
         self.sent_at.set(now);
         self.end.set(Some(GrantEnd::Failed));
     }
 
-    /// Takes note of how the request ended.
+    /// Records how the request ended.
     pub fn ended(&self, end: GrantEnd) {
         if self.end.get().is_some() {
             self.end.set(Some(end));
         }
     }
 
-    /// The answer begins: the prompt is read.
+    /// Records the start of the response: the prompt has been read.
     pub fn begun(&self, now: Time) {
         if self.end.get().is_none() {
             return;
         }
         let took = now.since(self.sent_at.get());
-        if self.alone.get() && self.reader.1 > 0 {
-            self.grants.note_read(&self.reader.0, self.reader.1, took);
+        if self.alone.get() && self.prefill.1 > 0 {
+            self.grants.record_prefill(&self.prefill.0, self.prefill.1, took);
         }
         self.ended(GrantEnd::Begun(took.as_millis() as u32));
-        self.tell();
+        self.report_end();
     }
 
-    /// Nothing is to be told: the granter has refused it.
+    /// The granter refused the request, so there is nothing to report.
     pub(super) fn refused(&self) {
         self.end.set(None);
     }
 
-    fn tell(&self) {
+    fn report_end(&self) {
         if let Some(end) = self.end.take() {
-            self.grants.send(self.granter, GrantMessage::Ended(self.server, self.ask, end));
+            self.grants.send(self.granter, GrantMessage::Ended(self.server, self.call, end));
         }
     }
 }
 
 impl Drop for GrantGuard {
     fn drop(&mut self) {
-        self.grants.asks.close(self.ask);
-        self.tell();
+        self.grants.calls.close(self.call);
+        self.report_end();
     }
 }
 
-/// A request that waits for its turn.
+/// A request that waits for a grant.
 pub struct WaitingGrant {
     pub(super) guard: GrantGuard,
     pub(super) answers: UnboundedReceiver<GrantAnswer>,
-    /// How long it was told to wait.
+    /// The announced wait.
     pub expected: Duration,
 }
--- a/crates/portrack/src/gateway/arrivals/message.rs
+++ b/crates/portrack/src/gateway/arrivals/message.rs
@@ -1,75 +1,78 @@
-//! What daemons tell each other of grants.
+//! The messages between daemons about grants.
 
-use super::asks::CallId;
+use super::pending_calls::CallId;
 use crate::gateway::admission::OrganisationHash;
 use crate::gateway::backpressure::message::LimitReport;
 use crate::gateway::fleet::trailing_field::or_default;
 use serde::{Deserialize, Serialize};
 
-/// What a request needs of a server.
+/// A request for a grant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The asking daemon's count.
+    /// The requesting daemon's call number.
     pub ask: u32,
-    /// The server, by its mark.
+    /// Hash of the server.
     pub server: u32,
-    /// Whose request it is, if callers show keys.
+    /// The request's organisation, if callers present keys.
     pub organisation: Option<OrganisationHash>,
-    /// Tokens of its prompt; 0 where servers read none.
+    /// Number of prompt tokens; 0 if the servers have no prefill.
     pub tokens: u32,
-    /// Its rank, 0 highest.
+    /// Priority, 0 is highest.
     pub priority: u8,
-    /// It must be sent within this to be in time, in milliseconds.
+    /// The request must be sent within this to meet its objective, in milliseconds.
     pub left_ms: u32,
-    /// Nobody waits for its answer if it is sent later than this, in milliseconds.
+    /// The caller no longer waits for the answer if the request is sent later than this, in
+    /// milliseconds.
     pub most_ms: u32,
-    /// The longest pause of a stream in time, in milliseconds; 0 where pauses do not matter.
+    /// The longest gap between events of a stream that meets the objective, in milliseconds; 0 if
+    /// gaps do not matter.
     pub gap_ms: u16,
-    /// How long one event usually takes there, in milliseconds.
+    /// Usual gap between events at the server, in milliseconds.
     pub event_ms: u16,
-    /// The limit that the server names, as far as the asking daemon knows.
+    /// The server's stated limit as known to the requesting daemon.
     #[serde(deserialize_with = "or_default")]
     pub limit: Option<LimitReport>,
 }
 
-/// What becomes of it.
+/// The answer to a request for a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantAnswer {
-    /// It may be sent; how long the server will be reading, in milliseconds.
+    /// The request may be sent; the server's prefill backlog in milliseconds.
     Granted(u32),
-    /// It waits for its turn for about so many milliseconds; another answer follows.
+    /// The request waits for about this many milliseconds; another answer follows.
     Waits(u32),
-    /// It is not to be sent there; when to come back, in milliseconds.
+    /// The request must not be sent; the retry delay in milliseconds.
     Refused(u32),
 }
 
-/// An answer with the request it is for.
+/// An answer and the call that it belongs to.
 pub type GrantReply = (CallId, GrantAnswer);
 
-/// What became of a request that was granted, or waited.
+/// How a granted or waiting request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantEnd {
-    /// Its answer begins, so many milliseconds after it was sent: its prompt is read.
+    /// The response started this many milliseconds after the request was sent, so the prompt has
+    /// been read.
     Begun(u32),
-    /// It was sent, and no good answer came.
+    /// The request was sent but failed.
     Failed,
-    /// It was sent, and the connection broke off: the server may have started again.
+    /// The request was sent and the connection was lost. The server may have restarted.
     Lost,
-    /// The server does not have what it needs, and turned it away.
+    /// The server does not have what the request needs and rejected it.
     TurnedAway,
-    /// It was not sent.
+    /// The request was not sent.
     Unsent,
     /// The server could not be reached.
     Unreachable,
 }
 
-/// Messages of grants.
+/// A message about grants.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum GrantMessage {
     /// To the granter.
     Ask(GrantRequest),
-    /// To the daemon that asked: its count, and the answer.
+    /// To the requesting daemon: its call number and the answer.
     Answer(u32, GrantAnswer),
-    /// To the granter: the server, the daemon's count of the request, and how it went.
+    /// To the granter: the server, the requesting daemon's call number, and how the request ended.
     Ended(u32, u32, GrantEnd),
 }
--- a/crates/portrack/src/gateway/arrivals/mod.rs
+++ b/crates/portrack/src/gateway/arrivals/mod.rs
@@ -1,37 +1,39 @@
-//! Arrivals at a server are granted: one daemon a server, its granter, knows what is under way there.
+//! Grants arrivals at servers. Each server has one granter, a daemon that tracks the requests in
+//! flight there.
 //!
-//! In come asks for a server (prompt tokens, urgency, organisation, time left) and how requests began or
-//! failed there; out go a grant, a wait of bounded length, or a refusal with the time to come back. A
-//! server that may be cold must never get more in a second than it bears, whoever sends and whatever is
-//! lost; for what a server reads, doubt costs time, never a request. [`Granter`] is a state machine
-//! without sockets; [`Grants`] asks and answers by datagrams; [`PendingCalls`], [`RetryScheduler`] and [`choose_evicted`]
-//! are shared with the dispatchers of small services.
+//! Inputs are requests for a grant (prompt tokens, priority, organisation, time left) and reports
+//! of how requests started or failed. The answer is a grant, a wait of bounded length, or a refusal
+//! with a retry delay. A server that may be cold must never receive more requests per second than
+//! it can take, whoever sends and whatever messages are lost. For prefill limits, missing
+//! information may delay a request but never refuses it. [`Granter`] is a state machine without
+//! I/O; [`Grants`] sends and answers requests in datagrams. [`PendingCalls`], [`RetryScheduler`]
+//! and [`choose_evicted`] are shared with the dispatchers of small services.
 
-mod asks;
 mod cold;
 mod fairness;
+mod fallback_shares;
 mod granter;
 mod grants;
 mod guard;
-mod knowing;
 mod message;
-mod note;
-mod pace;
-mod promises;
+mod pending_calls;
+mod prefill_rate;
+mod prefill_window;
 mod quantile;
-mod reading;
-mod share;
+mod retry_scheduler;
+mod rules;
+mod timings;
 
-pub use asks::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
 pub use cold::{ColdBound, ColdRule, ColdWindow};
 pub use fairness::choose_evicted;
+pub use fallback_shares::FallbackShares;
 pub use granter::{Granter, ServerRule};
-pub use grants::{GrantDeps, GrantMetrics, GrantNeed, GrantOutcome, Grants};
+pub use grants::{GrantDeps, GrantMetrics, GrantOutcome, GrantRequirements, Grants};
 pub use guard::{GrantGuard, WaitingGrant};
 pub use message::{GrantAnswer, GrantEnd, GrantMessage, GrantReply, GrantRequest};
-pub use note::GrantTimings;
-pub use pace::PrefillRate;
-pub use promises::RetryScheduler;
+pub use pending_calls::{ANSWER_TIMEOUT, CallId, PendingCalls, next_answer};
+pub use prefill_rate::PrefillRate;
+pub use prefill_window::{PrefillLimit, PrefillWindow};
 pub use quantile::Quantile;
-pub use reading::{PrefillLimit, PrefillWindow};
-pub use share::FallbackShares;
+pub use retry_scheduler::RetryScheduler;
+pub use timings::GrantTimings;
--- a/crates/portrack/src/gateway/arrivals/knowing.rs
+++ b/crates/portrack/src/gateway/arrivals/rules.rs
@@ -1,4 +1,4 @@
-//! What a granter takes a server for.
+//! The rules that a granter applies to a server.
 
 use super::cold::{ColdBound, ColdRule};
 use super::granter::ServerRule;
@@ -11,48 +11,54 @@
 use std::rc::Rc;
 
 impl Grants {
-    /// A server by its mark; `before` is its id if it was found before.
+    /// Finds a server by its hash; `before` is its id if it was found before.
     pub(super) fn backend(&self, server: u32, before: Option<&str>) -> Option<Rc<Backend>> {
         let view = self.view.borrow();
-        let known =
-            before.and_then(|id| view.backend(id)).filter(|all| all.incarnation_hash() == server);
-        let found = known.or_else(|| view.backends().find(|all| all.incarnation_hash() == server));
+        let known = before
+            .and_then(|id| view.backend(id))
+            .filter(|backend| backend.incarnation_hash() == server);
+        let found =
+            known.or_else(|| view.backends().find(|backend| backend.incarnation_hash() == server));
         found.cloned()
     }
 
-    /// What binds arrivals at a server. Where callers show keys, a server is also in doubt while the proof
-    /// is older than a cold start lasts.
+    /// The limits on arrivals at a server. If callers present keys, a server may also be cold while
+    /// the freshness proof is older than the duration of a cold start.
     pub(super) fn rule(&self, now: Time, backend: &Backend) -> ServerRule {
         let view = self.view.borrow();
         let start = view.service(&backend.service).and_then(|service| service.cold);
         let cold = start.map(|start| {
-            let told = view.config().is_some_and(|config| config.organisations.is_some());
-            let old = told && !self.proof.is_within(now, start.duration);
-            let cold = old || self.coldness.borrow().is_cold(now, &backend.id, Some(&start));
+            let has_keys = view.config().is_some_and(|config| config.organisations.is_some());
+            let is_stale = has_keys && !self.proof.is_within(now, start.duration);
+            let cold = is_stale || self.coldness.borrow().is_cold(now, &backend.id, Some(&start));
             let bound = ColdBound::new(&start, self.cold_ratio, self.cold_slack);
-            ColdRule { bound, cold, is_stand_in: !self.comes_first(backend) }
+            ColdRule { bound, cold, is_stand_in: !self.is_first_granter(backend) }
         });
         ServerRule { cold, limit: self.limit_rule(backend) }
     }
 
-    /// What binds arrivals at a server that names a limit. A daemon that hears less than half of those it knew of lately may
-    /// be cut off, and one that others come before only stands in for them: somebody else may give out the limit too.
+    /// The rule for a server that states a limit. A daemon that receives from fewer than half of
+    /// the recently known daemons may be partitioned, and a daemon preceded by others only stands
+    /// in for them. In both cases another daemon may be using the limit too.
     fn limit_rule(&self, backend: &Backend) -> Option<LimitRule> {
         if !self.is_limited(backend) {
             return None;
         }
-        let hears_few = self.daemons.borrow().count() * 2 < self.known.get();
-        self.backpressure.rule(backend.incarnation_hash(), hears_few || !self.comes_first(backend))
+        let sees_few = self.daemons.borrow().count() * 2 < self.known_daemons.get();
+        self.backpressure
+            .rule(backend.incarnation_hash(), sees_few || !self.is_first_granter(backend))
     }
 
-    /// True if no other daemon comes before this one as a server's granter, whether or not it answers.
-    fn comes_first(&self, backend: &Backend) -> bool {
+    /// Returns whether no other daemon precedes this one as the granter of a server, responsive or
+    /// not.
+    fn is_first_granter(&self, backend: &Backend) -> bool {
         let first = self.first_granter(backend, |_| true);
         first.is_none_or(|first| first == self.me.address)
     }
 
-    /// The first daemon that may be a server's granter, of its own hall, else of its region, else any: those that answer.
-    /// Arrivals at a server that names a limit are only granted by daemons that keep limits.
+    /// The first responsive daemon that may be the granter of a server: from the server's data
+    /// hall, else from its region, else any. Only daemons that enforce limits grant arrivals at a
+    /// server that states one.
     pub(super) fn first_granter(
         &self,
         backend: &Backend,
@@ -72,8 +78,8 @@
             .or_else(|| daemons.first(server.into(), fits))
     }
 
-    /// True if arrivals at a server are granted: where it names a limit or may be cold, and where engines' loads are
-    /// known late.
+    /// Returns whether arrivals at a server need a grant: if it states a limit or may be cold, or
+    /// for engines while loads are known only with a delay.
     pub fn grants(&self, backend: &Backend) -> bool {
         if self.is_limited(backend) {
             return true;
@@ -83,15 +89,16 @@
         service.cold.is_some() || (service.engine.is_some() && self.loads_are_delayed.get())
     }
 
-    /// True if a server names a limit.
+    /// Returns whether a server states a limit.
     pub fn is_limited(&self, backend: &Backend) -> bool {
         self.backpressure.limit(backend.incarnation_hash()).is_some()
     }
 
-    /// True if a request whose granter does not answer may be sent; never to a server that names a limit. Where
-    /// servers have a cold start, a daemon sends one that it takes for warm a request now and then, and one that may
-    /// be cold the same only if it is one of the few that have a share there.
-    pub fn may_send_alone(&self, backend: &Backend) -> bool {
+    /// Returns whether a request whose granter does not answer may be sent. Never to a server that
+    /// states a limit. If the service has a cold start, a daemon sends an occasional request to a
+    /// server believed to be warm; to a server that may be cold, only the few daemons with a share
+    /// there may do so.
+    pub fn may_send_without_grant(&self, backend: &Backend) -> bool {
         if self.is_limited(backend) {
             return false;
         }
--- a/crates/portrack/src/gateway/arrivals/note.rs
+++ b/crates/portrack/src/gateway/arrivals/timings.rs
@@ -1,4 +1,4 @@
-//! What a request's log line tells of its grant.
+//! Grant details for a request's log line.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,34 +7,34 @@
 /// The grant of one request.
 #[derive(Debug, Default)]
 pub struct GrantTimings {
-    /// Who gave it.
+    /// The daemon that gave the grant.
     pub granter: Cell<Option<SocketAddr>>,
     waited: Cell<Duration>,
-    told: Cell<Duration>,
+    expected: Cell<Duration>,
 }
 
 impl GrantTimings {
-    /// It waited so long, on top of earlier tries.
-    pub fn waited(&self, wait: Duration) {
+    /// Adds a wait to those of earlier tries.
+    pub fn add_wait(&self, wait: Duration) {
         self.waited.set(self.waited.get() + wait);
     }
 
-    /// It was told to wait so long.
-    pub fn told(&self, wait: Duration) {
-        self.told.set(self.told.get().max(wait));
+    /// Records an announced wait.
+    pub fn expect_wait(&self, wait: Duration) {
+        self.expected.set(self.expected.get().max(wait));
     }
 
-    /// How long it waited, in milliseconds.
+    /// Total wait in milliseconds.
     pub fn waited_ms(&self) -> u64 {
         self.waited.get().as_millis() as u64
     }
 
-    /// The longest wait it was told of, in milliseconds.
+    /// The longest announced wait in milliseconds.
     pub fn told_ms(&self) -> u64 {
-        self.told.get().as_millis() as u64
+        self.expected.get().as_millis() as u64
     }
 
-    /// Who gave it, for logs; empty for nobody.
+    /// Address of the granter for logs; empty if there is none.
     pub fn granter_name(&self) -> String {
         self.granter.get().map(|granter| granter.to_string()).unwrap_or_default()
     }
--- a/crates/portrack/src/gateway/selection/adapter_locations.rs
+++ b/crates/portrack/src/gateway/selection/adapter_locations.rs
@@ -1,4 +1,5 @@
-//! Which server holds which adapter, from the store's list and from fresher notices.
+//! Tracks which servers hold which adapters, from the store's server entries and from more recent
+//! notices.
 
 use crate::gateway::dialect::AdapterKey;
 use crate::gateway::fleet::backend::Backend;
@@ -7,24 +8,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A notice of the planner outweighs the store's list for this long; by then the list has caught up.
+/// How long a planner notice overrides the store's entries, which are up to date after that.
 pub const NOTICE_TTL: Duration = Duration::from_millis(4_000);
-/// That an adapter could not be loaded at a server counts for this long.
+/// How long a failed load on a server is remembered.
 pub const REFUSAL_TTL: Duration = Duration::from_millis(900);
 
-/// Servers remembered for each adapter: a copy is made for what is asked for often, so a few.
-const REMEMBERED: usize = 4;
+/// Past holders remembered per adapter. A few are enough, since only frequently requested adapters
+/// are copied.
+const MAX_PAST_HOLDERS: usize = 4;
 
-/// What a notice says of an adapter at a server.
+/// The state of an adapter on a server according to a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It can be used, at this version.
+    /// Usable at this version.
     Held(u64),
-    /// It is on its way and expected at this time.
+    /// Loading this version, expected at this time.
     Coming(u64, Time),
-    /// It is not there, or about to go.
+    /// Not loaded, or about to be unloaded.
     Absent,
-    /// It could not be loaded there.
+    /// Could not be loaded.
     Refused,
 }
 
@@ -40,20 +42,20 @@
     noticed: BTreeMap<Rc<str>, Notice>,
 }
 
-/// An index from adapters to the servers that hold them.
+/// Index from adapters to the servers that hold them.
 #[derive(Debug, Clone, Default)]
 pub struct AdapterLocations {
     adapters: HashMap<AdapterKey, Holders>,
-    /// Where each adapter was held last, the latest first, with its version there.
-    held_once: HashMap<AdapterKey, Vec<(Rc<str>, u64)>>,
+    /// The last holders of each adapter with the version they held, most recent first.
+    past_holders: HashMap<AdapterKey, Vec<(Rc<str>, u64)>>,
 }
 
 impl AdapterLocations {
-    /// Takes a server's entry in, in place of its last one.
+    /// Replaces a server's entry.
     pub fn list(&mut self, before: Option<&Backend>, now: Option<&Backend>) {
         if let Some(before) = before {
             for key in keys(before) {
-                self.unlist(&key.0, &before.id);
+                self.remove_listed(&key.0, &before.id);
             }
         }
         let Some(backend) = now else {
@@ -63,13 +65,13 @@
             return;
         };
         for (key, version) in keys(backend) {
-            self.remember(&key, &backend.id, version);
+            self.remember_holder(&key, &backend.id, version);
             let holders = self.adapters.entry(key).or_default();
             holders.listed.insert(backend.id.clone(), version);
         }
     }
 
-    fn unlist(&mut self, key: &AdapterKey, id: &str) {
+    fn remove_listed(&mut self, key: &AdapterKey, id: &str) {
         let Some(holders) = self.adapters.get_mut(key) else { return };
         holders.listed.remove(id);
         if holders.listed.is_empty() && holders.noticed.is_empty() {
@@ -77,21 +79,22 @@
         }
     }
 
-    fn remember(&mut self, key: &AdapterKey, id: &Rc<str>, version: u64) {
-        let servers = self.held_once.entry(key.clone()).or_default();
+    fn remember_holder(&mut self, key: &AdapterKey, id: &Rc<str>, version: u64) {
+        let servers = self.past_holders.entry(key.clone()).or_default();
         servers.retain(|(server, _)| server != id);
         servers.insert(0, (id.clone(), version));
-        servers.truncate(REMEMBERED);
+        servers.truncate(MAX_PAST_HOLDERS);
     }
 
     fn forget_server(&mut self, id: &str) {
-        self.held_once.retain(|_, servers| {
+        self.past_holders.retain(|_, servers| {
             servers.retain(|(server, _)| &**server != id);
             !servers.is_empty()
         });
     }
 
-    /// A server has started again: it holds nothing of before, and notices of that say nothing any more.
+    /// Drops everything known about a server that restarted: the adapters it held and the notices
+    /// about them are obsolete.
     pub fn server_restarted(&mut self, id: &str) {
         self.forget_server(id);
         self.adapters.retain(|_, holders| {
@@ -101,23 +104,25 @@
         });
     }
 
-    /// True if a server held this version of an adapter and probably has a copy of it at hand.
+    /// Returns whether a server held this version of an adapter and therefore probably has it
+    /// cached.
     pub fn is_cached(&self, key: &AdapterKey, id: &str, version: u64) -> bool {
-        let servers = self.held_once.get(key).into_iter().flatten();
+        let servers = self.past_holders.get(key).into_iter().flatten();
         servers.into_iter().any(|(server, held)| &**server == id && *held == version)
     }
 
-    /// Takes a notice in that outweighs the list until a time.
+    /// Records a notice that overrides the store's entries until a time.
     pub fn notice(&mut self, key: &AdapterKey, id: &Rc<str>, presence: Presence, until: Time) {
         if let Presence::Held(version) = presence {
-            self.remember(key, id, version);
+            self.remember_holder(key, id, version);
         }
         let holders = self.adapters.entry(key.clone()).or_default();
         holders.noticed.insert(id.clone(), Notice { presence, until });
     }
 
-    /// A server turned a request for a version away, or for any version: it does not hold it, until a
-    /// time. A fresh notice that it holds a newer version stands: that took the other one's place.
+    /// Records that a server rejected a request for a version, or for any version: until a time,
+    /// the server counts as not holding it. A current notice that the server holds a newer version
+    /// is kept, because that version has replaced the rejected one.
     pub fn record_rejection(
         &mut self,
         now: Time,
@@ -127,54 +132,55 @@
         until: Time,
     ) {
         let notice = self.adapters.get(key).and_then(|holders| holders.noticed.get(id));
-        let held = notice.filter(|notice| notice.fresh(now)).and_then(Notice::usable);
+        let held = notice.filter(|notice| notice.is_fresh(now)).and_then(Notice::usable_version);
         if version.is_some_and(|version| held.is_some_and(|held| held > version)) {
             return;
         }
         self.notice(key, id, Presence::Absent, until);
     }
 
-    /// Forgets notices that the list has caught up with.
+    /// Drops notices that no longer override the store's entries.
     pub fn expire_notices(&mut self, now: Time) {
         self.adapters.retain(|_, holders| {
-            holders.noticed.retain(|_, notice| notice.fresh(now));
+            holders.noticed.retain(|_, notice| notice.is_fresh(now));
             !(holders.listed.is_empty() && holders.noticed.is_empty())
         });
     }
 
-    /// The servers that can serve an adapter now, with its version there.
+    /// The servers that can serve an adapter now, with the version they hold.
     pub fn holders(&self, now: Time, key: &AdapterKey) -> Vec<(Rc<str>, u64)> {
         let Some(holders) = self.adapters.get(key) else { return Vec::new() };
-        let fresh = |id: &Rc<str>| holders.noticed.get(id).filter(|notice| notice.fresh(now));
+        let fresh = |id: &Rc<str>| holders.noticed.get(id).filter(|notice| notice.is_fresh(now));
         let listed = holders.listed.iter().filter(|(id, _)| fresh(id).is_none());
         let mut all: Vec<(Rc<str>, u64)> = listed.map(|(id, v)| (id.clone(), *v)).collect();
-        for (id, notice) in holders.noticed.iter().filter(|(_, notice)| notice.fresh(now)) {
-            if let Some(version) = notice.usable() {
+        for (id, notice) in holders.noticed.iter().filter(|(_, notice)| notice.is_fresh(now)) {
+            if let Some(version) = notice.usable_version() {
                 all.push((id.clone(), version));
             }
         }
         all
     }
 
-    /// True if a fresh notice says that an adapter could not be loaded at a server.
+    /// Returns whether a current notice says that an adapter could not be loaded on a server.
     pub fn is_refused(&self, now: Time, key: &AdapterKey, id: &str) -> bool {
         let notice = self.adapters.get(key).and_then(|holders| holders.noticed.get(id));
-        notice.is_some_and(|notice| notice.fresh(now) && notice.presence == Presence::Refused)
+        notice.is_some_and(|notice| notice.is_fresh(now) && notice.presence == Presence::Refused)
     }
 
-    /// To how many servers an adapter is on its way at this version or a newer one.
+    /// The number of servers that are loading an adapter at this version or a newer one.
     pub fn coming(&self, now: Time, key: &AdapterKey, least: u64) -> usize {
         let notices = self.adapters.get(key).into_iter().flat_map(|held| held.noticed.values());
         let coming = |notice: &&Notice| matches!(notice.presence, Presence::Coming(version, _) if version >= least);
-        notices.filter(|notice| notice.fresh(now)).filter(coming).count()
+        notices.filter(|notice| notice.is_fresh(now)).filter(coming).count()
     }
 
-    /// When the adapter is expected at some server, if it is on its way.
+    /// The earliest time at which a server is expected to have loaded the adapter, if any is
+    /// loading it.
     pub fn expected(&self, now: Time, key: &AdapterKey) -> Option<Time> {
         self.coming_to(now, key).map(|(_, at)| at).min()
     }
 
-    /// The servers to which the adapter is on its way, and when it is expected there.
+    /// The servers that are loading the adapter, with the time at which each is expected to finish.
     pub fn coming_to<'a>(
         &'a self,
         now: Time,
@@ -182,18 +188,18 @@
     ) -> impl Iterator<Item = (&'a Rc<str>, Time)> + 'a {
         let notices = self.adapters.get(key).into_iter().flat_map(|held| &held.noticed);
         notices.filter_map(move |(id, notice)| match notice.presence {
-            Presence::Coming(_, at) if notice.fresh(now) => Some((id, at)),
+            Presence::Coming(_, at) if notice.is_fresh(now) => Some((id, at)),
             _ => None,
         })
     }
 }
 
 impl Notice {
-    fn fresh(&self, now: Time) -> bool {
+    fn is_fresh(&self, now: Time) -> bool {
         now < self.until
     }
 
-    fn usable(&self) -> Option<u64> {
+    fn usable_version(&self) -> Option<u64> {
         match self.presence {
             Presence::Held(version) => Some(version),
             Presence::Coming(..) | Presence::Absent | Presence::Refused => None,
--- a/crates/portrack/src/gateway/selection/choose.rs
+++ b/crates/portrack/src/gateway/selection/choose.rs
@@ -1,4 +1,4 @@
-//! Which server takes a request.
+//! Scores servers for a request and picks one.
 
 use super::crowding::is_crowded;
 use super::load::LoadTable;
@@ -7,39 +7,40 @@
 use crate::types::Time;
 use std::rc::Rc;
 
-/// What a server that fails every request costs, in requests waiting.
-const ALL_FAIL: f64 = 40.0;
-/// Prompt tokens that weigh as much as one running request.
-const TOKENS_A_REQUEST: f64 = 600.0;
-/// Milliseconds of reading that weigh as much as one running request.
-const READING_MS_A_REQUEST: f64 = 30.0;
-/// What a server that says nothing although it was asked costs.
-const SILENT: f64 = 80.0;
-/// What a server found unreachable a moment ago costs.
-const UNREACHABLE: f64 = 10_000.0;
+/// Cost of a server that fails every request, in waiting requests.
+const ALL_FAILING_COST: f64 = 40.0;
+/// Prompt tokens that cost as much as one running request.
+const TOKENS_PER_REQUEST: f64 = 600.0;
+/// Milliseconds of prefill that cost as much as one running request.
+const PREFILL_MS_PER_REQUEST: f64 = 30.0;
+/// Cost of a server that does not answer its outstanding requests.
+const SILENT_COST: f64 = 80.0;
+/// Cost of a server that was unreachable a moment ago.
+const UNREACHABLE_COST: f64 = 10_000.0;
 
-/// What a request would cost at a server, in requests waiting there.
+/// The cost of sending a request to a server, in requests waiting there.
 pub fn cost(now: Time, loads: &LoadTable, locality: &Locality, backend: &Backend) -> f64 {
     let work = loads.work(now, &backend.id);
     let mut cost = f64::from(work.requests);
-    cost += f64::from(work.waiting_tokens) / TOKENS_A_REQUEST;
-    cost += loads.backlog(now, &backend.id).as_secs_f64() * 1_000.0 / READING_MS_A_REQUEST;
+    cost += f64::from(work.waiting_tokens) / TOKENS_PER_REQUEST;
+    cost += loads.backlog(now, &backend.id).as_secs_f64() * 1_000.0 / PREFILL_MS_PER_REQUEST;
     cost += loads.cold_cost(now, &backend.id, work.requests);
-    cost += loads.failure_rate(now, &backend.id) * ALL_FAIL;
+    cost += loads.failure_rate(now, &backend.id) * ALL_FAILING_COST;
     cost += locality.network_cost(&backend.hall);
     if loads.is_silent(now, &backend.id) || loads.is_hall_silent(&backend.hall) {
-        cost += SILENT;
+        cost += SILENT_COST;
     }
     if loads.is_unreachable(now, &backend.id) {
-        cost += UNREACHABLE;
+        cost += UNREACHABLE_COST;
     }
     cost
 }
 
-/// Two of `count` candidates, chosen by a request's id.
+/// Picks two of `count` candidates by hashing a request id.
 ///
-/// With loads known some hundred milliseconds late, requests that all went to the idlest server
-/// would go there together; the better of two random ones spreads them.
+/// Loads are known only after some hundred milliseconds. If every request went to the least loaded
+/// server, they would all arrive there together; taking the better of two random servers spreads
+/// them.
 pub fn two_random_choices(id: &str, count: usize) -> Option<[usize; 2]> {
     let count = u64::try_from(count).ok().filter(|count| *count > 0)?;
     let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
@@ -51,19 +52,19 @@
     Some([first as usize, second as usize])
 }
 
-/// What is weighed of one candidate.
+/// A candidate server with the properties that are compared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScoredServer {
-    /// What the request would cost there.
+    /// Cost of sending the request to the server.
     pub cost: f64,
-    /// It is of this daemon's region.
+    /// Whether the server is in this daemon's region.
     pub is_near: bool,
-    /// Requests begin to slow each other down there.
+    /// Whether requests begin to slow each other down on the server.
     pub is_crowded: bool,
 }
 
 impl ScoredServer {
-    /// A server at this cost.
+    /// Scores a server at the given cost.
     pub fn new(cost: f64, locality: &Locality, backend: &Backend) -> Self {
         Self {
             cost,
@@ -72,29 +73,29 @@
         }
     }
 
-    fn is_sound(&self) -> bool {
-        self.cost < SILENT
+    fn is_healthy(&self) -> bool {
+        self.cost < SILENT_COST
     }
 }
 
-/// The place to take among candidates that come with the cheapest first: the better of two that a
-/// request's id chooses among those that are not in trouble, or the first if all are. Where some are of
-/// other regions, those of this one are taken while any of them is not crowded.
-pub fn better_of_two(id: &str, offers: &[ScoredServer]) -> usize {
-    let places = |fits: &dyn Fn(&ScoredServer) -> bool| -> Vec<usize> {
-        let fitting = offers.iter().enumerate().filter(|(_, offer)| fits(offer));
-        fitting.map(|(place, _)| place).collect()
+/// Picks an index from candidates sorted by ascending cost: the better of two healthy candidates
+/// chosen by the request id, or the first if none is healthy. If some healthy candidates are in
+/// other regions, candidates in this region are preferred while any of them is not crowded.
+pub fn better_of_two(id: &str, servers: &[ScoredServer]) -> usize {
+    let indices = |fits: &dyn Fn(&ScoredServer) -> bool| -> Vec<usize> {
+        let fitting = servers.iter().enumerate().filter(|(_, server)| fits(server));
+        fitting.map(|(index, _)| index).collect()
     };
-    let sound = places(&ScoredServer::is_sound);
-    let near = match sound.iter().all(|place| offers[*place].is_near) {
+    let healthy = indices(&ScoredServer::is_healthy);
+    let near = match healthy.iter().all(|index| servers[*index].is_near) {
         true => Vec::new(),
-        false => places(&|offer| offer.is_sound() && offer.is_near && !offer.is_crowded),
+        false => indices(&|server| server.is_healthy() && server.is_near && !server.is_crowded),
     };
-    let among = if near.is_empty() { sound } else { near };
+    let among = if near.is_empty() { healthy } else { near };
     two_random_choices(id, among.len()).map_or(0, |[first, second]| among[first.min(second)])
 }
 
-/// The cheapest server of those not tried yet.
+/// The untried server with the lowest cost.
 pub fn cheapest<'a>(
     now: Time,
     loads: &LoadTable,
@@ -108,10 +109,10 @@
     best.map(|(_, backend)| backend.clone())
 }
 
-/// The cheaper of two untried servers that a request's id chooses among those that are not in trouble.
+/// The cheaper of two healthy, untried servers chosen by the request id.
 ///
-/// Where loads are known some hundred milliseconds late, requests that all went to the idlest server
-/// would go there together.
+/// Loads are known only after some hundred milliseconds. If every request went to the least loaded
+/// server, they would all arrive there together.
 pub fn cheaper_of_two<'a>(
     now: Time,
     loads: &LoadTable,
@@ -124,7 +125,7 @@
     let mut costed: Vec<_> =
         untried.map(|backend| (cost(now, loads, locality, backend), backend)).collect();
     costed.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-    let offers: Vec<ScoredServer> =
+    let servers: Vec<ScoredServer> =
         costed.iter().map(|(cost, backend)| ScoredServer::new(*cost, locality, backend)).collect();
-    costed.get(better_of_two(id, &offers)).map(|(_, backend)| (*backend).clone())
+    costed.get(better_of_two(id, &servers)).map(|(_, backend)| (*backend).clone())
 }
--- a/crates/portrack/src/gateway/selection/crowding.rs
+++ b/crates/portrack/src/gateway/selection/crowding.rs
@@ -1,55 +1,58 @@
-//! Whether a further copy of an adapter is worth a fetch from the weight store.
+//! Decides whether another copy of an adapter is worth a fetch from the weight store.
 //!
-//! The requests of a batch hardly slow each other down until the slots run out, so a server counts
-//! as crowded by its share of slots, and only what is asked for often is worth a copy.
+//! The requests of a batch hardly slow each other down until the slots run out. A server therefore
+//! counts as crowded by the share of its slots in use, and only frequently requested adapters are
+//! worth a copy.
 
-/// A server with this share of its slots taken is crowded.
+/// Share of slots in use above which a server is crowded.
 const CROWDED_SHARE: f64 = 0.5;
-/// The idlest server must be idler by this share of the slots.
+/// Difference in slot usage, as a share of the slots, by which the least loaded server must be less
+/// loaded.
 const IDLER_SHARE: f64 = 0.3;
-/// Requests of the last seconds, fading, that this daemon must have seen for the adapter.
-const LEAST_ASKS: f64 = 2.5;
-/// A server with this share of its slots taken is overloaded: requests begin to wait.
+/// Minimum decayed count of recent requests for the adapter at this daemon.
+const MIN_REQUESTS_FOR_COPY: f64 = 2.5;
+/// Share of slots in use above which a server is overloaded: requests begin to wait.
 const OVERLOADED_SHARE: f64 = 0.85;
-/// A server with at most this share of its slots taken may be given replicas.
+/// Share of slots in use up to which a server may receive replicas.
 const IDLE_SHARE: f64 = 0.4;
-/// A later home is taken only if it is idler by this share of the slots.
-const HOME_IDLER_SHARE: f64 = 0.4;
-
-/// Requests of the last seconds, fading, that this daemon must have seen for an adapter that only the
-/// other region holds: what one of a region's daemons is asked for twice, its others are asked for as
-/// well, and a copy spares all of them the way.
-const LEAST_ASKS_FROM_AFAR: f64 = 1.5;
-
-/// True if an adapter that was asked for `asks` times lately is worth a copy in this region beside the
-/// one in another.
-pub fn is_local_copy_worthwhile(asks: f64) -> bool {
-    asks >= LEAST_ASKS_FROM_AFAR
+/// Difference in slot usage, as a share of the slots, by which a lower-ranked load target must be
+/// less loaded to be preferred.
+const TARGET_IDLER_SHARE: f64 = 0.4;
+
+/// Minimum decayed count of recent requests at this daemon for an adapter that only the other
+/// region holds. What one daemon of a region is asked for twice, the region's other daemons are
+/// asked for too, and a local copy saves all of them the cross-region round trip.
+const MIN_REQUESTS_FOR_LOCAL_COPY: f64 = 1.5;
+
+/// Returns whether an adapter with this many recent requests is worth a copy in this region in
+/// addition to the one in another region.
+pub fn is_local_copy_worthwhile(recent_requests: f64) -> bool {
+    recent_requests >= MIN_REQUESTS_FOR_LOCAL_COPY
 }
 
-/// True if a server with `cost` requests waiting is crowded.
+/// Returns whether a server with `cost` waiting requests is crowded.
 pub fn is_crowded(slots: usize, cost: f64) -> bool {
     cost > slots as f64 * CROWDED_SHARE
 }
 
-/// True if requests begin to wait at a server with so many of them.
+/// Returns whether requests begin to wait at a server with this many requests.
 pub fn is_overloaded(slots: usize, requests: u32) -> bool {
     f64::from(requests) > slots as f64 * OVERLOADED_SHARE
 }
 
-/// True if a server with so many requests may be given adapters with much demand.
+/// Returns whether a server with this many requests may receive adapters in high demand.
 pub fn is_idle(slots: usize, requests: u32) -> bool {
     f64::from(requests) <= slots as f64 * IDLE_SHARE
 }
 
-/// True if a crowded server, where a request costs `cost`, should get help from the `idlest` one
-/// for an adapter that was asked for `asks` times lately.
-pub fn is_copy_worthwhile(slots: usize, cost: f64, idlest: f64, asks: f64) -> bool {
+/// Returns whether a crowded server, where a request costs `cost`, should be relieved by the server
+/// with the lowest cost, `idlest`, for an adapter with this many recent requests.
+pub fn is_copy_worthwhile(slots: usize, cost: f64, idlest: f64, recent_requests: f64) -> bool {
     let idler = cost > idlest + slots as f64 * IDLER_SHARE;
-    is_crowded(slots, cost) && idler && asks >= LEAST_ASKS
+    is_crowded(slots, cost) && idler && recent_requests >= MIN_REQUESTS_FOR_COPY
 }
 
-/// How much cheaper a server must be than an adapter's home to be taken in its place.
-pub fn home_margin(slots: usize) -> f64 {
-    slots as f64 * HOME_IDLER_SHARE
+/// How much cheaper a server must be than an adapter's first-ranked load target to be preferred.
+pub fn target_margin(slots: usize) -> f64 {
+    slots as f64 * TARGET_IDLER_SHARE
 }
--- a/crates/portrack/src/gateway/selection/demand.rs
+++ b/crates/portrack/src/gateway/selection/demand.rs
@@ -1,4 +1,5 @@
-//! What requests use and wish for, until the daemons that order the servers are told.
+//! Records adapter usage and load requests until they are sent to the daemons that hold the claims
+//! on the servers.
 
 use crate::gateway::dialect::AdapterKey;
 use crate::gateway::orders::adapter_demand::AdapterDemand;
@@ -9,162 +10,165 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The same wish is told again after this if nothing came of it.
-const WISH_AGAIN: Duration = Duration::from_millis(400);
+/// Interval after which an unfulfilled load request is sent again.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Adapters asked for less than this are forgotten.
-const FORGET_ASKS: f64 = 0.1;
+/// Adapters with fewer recent requests are forgotten.
+const MIN_RECENT_REQUESTS: f64 = 0.1;
 
-/// An adapter wished for at a server.
+/// A request to load an adapter on a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadRequest {
     /// The server.
     pub server: Rc<str>,
     /// The adapter.
     pub key: AdapterKey,
-    /// The oldest version that will do.
+    /// The oldest acceptable version.
     pub version: u64,
-    /// Requests that it would help; those that missed it since the last wish are added.
+    /// Requests that the load would help; [`AdapterDemandTracker::request_load`] adds those that
+    /// missed the adapter since the last load request.
     pub requests: u16,
 }
 
-/// What this daemon's requests do with an adapter at a server.
+/// The use that this daemon's requests make of an adapter on a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageReport {
     /// The server.
     pub server: Rc<str>,
     /// The adapter.
     pub key: AdapterKey,
-    /// Requests that began since this was last told.
+    /// Requests started since the last report.
     pub times: u16,
-    /// A request runs there now.
+    /// Whether a request is running.
     pub running: bool,
 }
 
-/// Uses and wishes that were not told yet.
+/// Collects usage and load requests that have not been sent yet.
 #[derive(Debug, Default)]
 pub struct AdapterDemandTracker {
     uses: RefCell<HashMap<(Rc<str>, AdapterKey), u16>>,
     running: RefCell<HashMap<(Rc<str>, AdapterKey), u16>>,
-    wishes: RefCell<Vec<LoadRequest>>,
-    wished_at: RefCell<HashMap<(AdapterKey, Rc<str>), Time>>,
+    load_requests: RefCell<Vec<LoadRequest>>,
+    requested_at: RefCell<HashMap<(AdapterKey, Rc<str>), Time>>,
     missed: RefCell<HashMap<AdapterKey, u16>>,
-    asked: RefCell<HashMap<AdapterKey, AdapterDemand>>,
-    wished: Notify,
-    turned: RefCell<HashSet<(Rc<str>, AdapterKey)>>,
+    requested: RefCell<HashMap<AdapterKey, AdapterDemand>>,
+    load_requested: Notify,
+    changed: RefCell<HashSet<(Rc<str>, AdapterKey)>>,
     usage_changed: Notify,
 }
 
 impl AdapterDemandTracker {
-    /// Counts a request that uses an adapter at a server, and runs there until the guard is
+    /// Counts a request that uses an adapter on a server. It counts as running until the guard is
     /// dropped.
-    pub fn begin(self: &Rc<Self>, server: &Rc<str>, key: &AdapterKey) -> UseGuard {
-        let place = (server.clone(), key.clone());
+    pub fn begin(self: &Rc<Self>, server: &Rc<str>, key: &AdapterKey) -> UsageGuard {
+        let entry = (server.clone(), key.clone());
         let mut uses = self.uses.borrow_mut();
-        let times = uses.entry(place.clone()).or_default();
+        let times = uses.entry(entry.clone()).or_default();
         *times = times.saturating_add(1);
         let mut running = self.running.borrow_mut();
-        let count = running.entry(place.clone()).or_default();
+        let count = running.entry(entry.clone()).or_default();
         if *count == 0 {
-            self.turned.borrow_mut().insert(place.clone());
+            self.changed.borrow_mut().insert(entry.clone());
             self.usage_changed.notify_one();
         }
         *count = count.saturating_add(1);
-        UseGuard { log: self.clone(), place }
+        UsageGuard { tracker: self.clone(), entry }
     }
 
-    /// Counts a request for an adapter, whether it is there or not.
-    pub fn asked(&self, now: Time, key: &AdapterKey) {
-        self.asked.borrow_mut().entry(key.clone()).or_default().used(now, 1);
+    /// Counts a request for an adapter, whether or not the adapter is loaded.
+    pub fn record_request(&self, now: Time, key: &AdapterKey) {
+        self.requested.borrow_mut().entry(key.clone()).or_default().used(now, 1);
     }
 
-    /// Requests for an adapter that came to this daemon in the last seconds, fading.
-    pub fn asks(&self, now: Time, key: &AdapterKey) -> f64 {
-        self.asked.borrow().get(key).map_or(0.0, |demand| demand.rate(now))
+    /// Decayed count of this daemon's recent requests for an adapter.
+    pub fn recent_requests(&self, now: Time, key: &AdapterKey) -> f64 {
+        self.requested.borrow().get(key).map_or(0.0, |demand| demand.rate(now))
     }
 
-    /// Counts a request that does not find its adapter.
-    pub fn missed(&self, key: &AdapterKey) {
+    /// Counts a request whose adapter is not loaded.
+    pub fn record_miss(&self, key: &AdapterKey) {
         let mut missed = self.missed.borrow_mut();
         let count = missed.entry(key.clone()).or_default();
         *count = count.saturating_add(1);
     }
 
-    /// Wishes for an adapter at a server, unless that was just done; true if it is wished for now.
-    pub fn wish(&self, now: Time, mut wish: LoadRequest) -> bool {
-        let mut wished_at = self.wished_at.borrow_mut();
-        let place = (wish.key.clone(), wish.server.clone());
-        let last = wished_at.insert(place.clone(), now);
-        if let Some(last) = last.filter(|last| now.since(*last) < WISH_AGAIN) {
-            wished_at.insert(place, last);
+    /// Requests a load unless the same load was requested a moment ago. Returns whether it was
+    /// added.
+    pub fn request_load(&self, now: Time, mut request: LoadRequest) -> bool {
+        let mut requested_at = self.requested_at.borrow_mut();
+        let entry = (request.key.clone(), request.server.clone());
+        let last = requested_at.insert(entry.clone(), now);
+        if let Some(last) = last.filter(|last| now.since(*last) < REQUEST_INTERVAL) {
+            requested_at.insert(entry, last);
             return false;
         }
-        let missed = self.missed.borrow_mut().remove(&wish.key).unwrap_or(0);
-        wish.requests = wish.requests.saturating_add(missed);
-        self.wishes.borrow_mut().push(wish);
-        self.wished.notify_one();
+        let missed = self.missed.borrow_mut().remove(&request.key).unwrap_or(0);
+        request.requests = request.requests.saturating_add(missed);
+        self.load_requests.borrow_mut().push(request);
+        self.load_requested.notify_one();
         true
     }
 
-    /// Waits for a wish.
+    /// Waits for a load request.
     pub async fn load_requested(&self) {
-        self.wished.notified().await;
+        self.load_requested.notified().await;
     }
 
-    /// Takes the wishes not told yet.
+    /// Takes the load requests that have not been sent yet.
     pub fn take_load_requests(&self) -> Vec<LoadRequest> {
-        self.wishes.take()
+        self.load_requests.take()
     }
 
-    /// Waits until an adapter begins to be used at a server, or is no longer.
+    /// Waits until an adapter comes into use on a server or goes out of use.
     pub async fn usage_changed(&self) {
         self.usage_changed.notified().await;
     }
 
-    /// Takes the adapters that began or ceased to be used since the last look. Both are told at
-    /// once: what is idle may be dropped, an unload of what is in use holds up its server, and a
-    /// place that is thought to be in use is wasted.
+    /// Takes the adapters that came into use or went out of use since the last call. Both are
+    /// reported at once: an idle adapter may be evicted, unloading an adapter in use blocks its
+    /// server, and an adapter wrongly believed to be in use wastes a slot.
     pub fn take_changed(&self) -> Vec<UsageReport> {
-        let turned = self.turned.take().into_iter();
-        turned.map(|place| self.use_of(place)).collect()
+        let changed = self.changed.take().into_iter();
+        changed.map(|entry| self.usage_at(entry)).collect()
     }
 
-    fn use_of(&self, place: (Rc<str>, AdapterKey)) -> UsageReport {
-        let times = self.uses.borrow_mut().remove(&place).unwrap_or_default();
-        let running = self.running.borrow().contains_key(&place);
-        UsageReport { server: place.0, key: place.1, times, running }
+    fn usage_at(&self, entry: (Rc<str>, AdapterKey)) -> UsageReport {
+        let times = self.uses.borrow_mut().remove(&entry).unwrap_or_default();
+        let running = self.running.borrow().contains_key(&entry);
+        UsageReport { server: entry.0, key: entry.1, times, running }
     }
 
-    /// Takes the uses not told yet; what still runs is told each time, with 0 further uses.
+    /// Takes the usage that has not been sent yet. Adapters still in use are reported every time,
+    /// even with no new requests.
     pub fn take_usage(&self) -> Vec<UsageReport> {
-        let places: HashSet<_> =
+        let entries: HashSet<_> =
             self.running.borrow().keys().chain(self.uses.borrow().keys()).cloned().collect();
-        places.into_iter().map(|place| self.use_of(place)).collect()
+        entries.into_iter().map(|entry| self.usage_at(entry)).collect()
     }
 
-    /// Forgets old wishes, and adapters that nobody asks for any more.
+    /// Drops old load requests, and adapters that are no longer requested.
     pub fn sweep(&self, now: Time) {
-        self.asked.borrow_mut().retain(|_, demand| demand.rate(now) > FORGET_ASKS);
-        self.wished_at.borrow_mut().retain(|_, at| now.since(*at) < WISH_AGAIN);
+        self.requested.borrow_mut().retain(|_, demand| demand.rate(now) > MIN_RECENT_REQUESTS);
+        self.requested_at.borrow_mut().retain(|_, at| now.since(*at) < REQUEST_INTERVAL);
     }
 }
 
-/// A request that runs at a server with an adapter.
+/// Marks an adapter as in use on a server until dropped.
 #[derive(Debug)]
-pub struct UseGuard {
-    log: Rc<AdapterDemandTracker>,
-    place: (Rc<str>, AdapterKey),
+pub struct UsageGuard {
+    tracker: Rc<AdapterDemandTracker>,
+    entry: (Rc<str>, AdapterKey),
 }
 
-impl Drop for UseGuard {
+impl Drop for UsageGuard {
     fn drop(&mut self) {
-        let mut running = self.log.running.borrow_mut();
-        let Some(count) = running.get_mut(&self.place) else { return };
+        let mut running = self.tracker.running.borrow_mut();
+        let Some(count) = running.get_mut(&self.entry) else { return };
         *count -= 1;
         if *count == 0 {
-            running.remove(&self.place);
-            self.log.turned.borrow_mut().insert(self.place.clone());
-            self.log.usage_changed.notify_one();
+            running.remove(&self.entry);
+            self.tracker.changed.borrow_mut().insert(self.entry.clone());
+            self.tracker.usage_changed.notify_one();
         }
     }
 }
--- a/crates/portrack/src/gateway/selection/load_reports.rs
+++ b/crates/portrack/src/gateway/selection/load_reports.rs
@@ -1,5 +1,5 @@
-//! In large fleets: the daemon that orders a server reads its load, tells the others, and has
-//! adapters with much demand loaded elsewhere as well.
+//! In large fleets, the daemon that holds the claim on a server fetches its load, sends it to the
+//! other daemons, and has adapters in high demand loaded on further servers.
 
 use super::crowding::{is_idle, is_overloaded};
 use super::demand::LoadRequest;
@@ -15,20 +15,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between readings of the loads. A reading is a call to each server; at 78 servers 234 a second.
-const REPORT_EVERY: Duration = Duration::from_millis(300);
-/// Requests a second of an adapter for which replicas are considered.
-const LEAST_PACE: f64 = 2.0;
+/// Interval between load reports. Each report is one call per server: at 78 servers, 234 calls per
+/// second.
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
+/// Minimum requests per second for an adapter to be considered for replicas.
+const MIN_REQUEST_RATE: f64 = 2.0;
 
 impl GatewayDaemon {
-    /// Reads the loads of the servers that this daemon orders, for ever.
+    /// Fetches and reports the loads of the servers claimed by this daemon. Never returns.
     pub(in crate::gateway) async fn report_loads(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(REPORT_EVERY).await;
+            actix_rt::time::sleep(REPORT_INTERVAL).await;
             if !self.handler.loads_are_delayed.get() {
                 continue;
             }
-            let loads = self.clone().read_loads().await;
+            let loads = self.clone().fetch_loads().await;
             if loads.is_empty() {
                 continue;
             }
@@ -36,11 +37,11 @@
             let targets = self.peers.borrow().notice_targets(self.now());
             let message = PeerMessage::Loads(loads.clone());
             targets.into_iter().for_each(|target| self.send(&message, target));
-            self.wish_for_replicas(&loads);
+            self.request_replicas(&loads);
         }
     }
 
-    async fn read_loads(self: Rc<Self>) -> Vec<ServerLoad> {
+    async fn fetch_loads(self: Rc<Self>) -> Vec<ServerLoad> {
         let servers: Vec<_> = {
             let view = self.handler.view.borrow();
             let ordered = self.order_executor.claims.borrow().orderable(self.now());
@@ -48,17 +49,18 @@
             backends.map(|backend| (backend.id.clone(), backend.address)).collect()
         };
         let daemon = &self;
-        let reading = servers.iter().map(|(server, address)| async move {
+        let reports = servers.iter().map(|(server, address)| async move {
             let report = daemon.order_executor.fetch_load_report(server, *address).await?;
-            daemon.look_at_life(server, &report)?;
+            daemon.check_incarnation(server, &report)?;
             let requests = u16::try_from(report.requests).unwrap_or(u16::MAX);
-            Some(ServerLoad { server: daemon.handler.loads.mark(server), requests })
+            Some(ServerLoad { server: daemon.handler.loads.incarnation_hash(server), requests })
         });
-        join_all(reading).await.into_iter().flatten().collect()
+        join_all(reports).await.into_iter().flatten().collect()
     }
 
-    /// Takes in what a report tells of a server's life; `None` if it is of a former one.
-    fn look_at_life(self: &Rc<Self>, server: &Rc<str>, report: &ServerReport) -> Option<()> {
+    /// Checks a report against the known incarnation of the server; `None` if the report is from a
+    /// former incarnation.
+    fn check_incarnation(self: &Rc<Self>, server: &Rc<str>, report: &ServerReport) -> Option<()> {
         match self.order_executor.reported_incarnation(server, report) {
             ReportedIncarnation::Former => return None,
             ReportedIncarnation::Newer(born) => self.on_newer_incarnation(server, born),
@@ -67,94 +69,103 @@
         Some(())
     }
 
-    /// Asks for replicas of the adapters that need them, at the idlest servers.
-    fn wish_for_replicas(&self, loads: &[ServerLoad]) {
+    /// Requests replicas, on the least loaded servers, of the adapters that need them.
+    fn request_replicas(&self, loads: &[ServerLoad]) {
         let now = self.now();
         let ordered = self.order_executor.claims.borrow().orderable(now);
-        let paces: HashMap<Rc<str>, Vec<(AdapterKey, f64)>> = {
+        let rates: HashMap<Rc<str>, Vec<(AdapterKey, f64)>> = {
             let planner = self.order_executor.planner.borrow();
             ordered.iter().map(|id| (id.clone(), planner.request_rates(now, id))).collect()
         };
-        let per_second = paces.values().flatten().map(|(_, pace)| pace).sum();
+        let per_second = rates.values().flatten().map(|(_, rate)| rate).sum();
         let running = loads.iter().map(|load| f64::from(load.requests)).sum();
-        let runs = mean_run_time(running, per_second);
-        for (server, adapters) in paces {
-            for (key, pace) in adapters.into_iter().filter(|(_, pace)| *pace >= LEAST_PACE) {
-                self.replicate(now, &server, &key, pace, runs);
+        let run_time = mean_run_time(running, per_second);
+        for (server, adapters) in rates {
+            for (key, rate) in adapters.into_iter().filter(|(_, rate)| *rate >= MIN_REQUEST_RATE) {
+                self.request_replicas_of(now, &server, &key, rate, run_time);
             }
         }
     }
 
-    fn replicate(&self, now: Time, server: &Rc<str>, key: &AdapterKey, pace: f64, runs: Duration) {
-        let Some((demand, version)) = self.replica_demand(now, server, key, pace, runs) else {
+    fn request_replicas_of(
+        &self,
+        now: Time,
+        server: &Rc<str>,
+        key: &AdapterKey,
+        rate: f64,
+        run_time: Duration,
+    ) {
+        let Some((demand, version)) = self.replica_demand(now, server, key, rate, run_time) else {
             return;
         };
         let load = self.handler.loads.work(now, server).requests;
         let relief = is_overloaded(demand.slots, load) && demand.coming == 0;
-        let missing = demand.missing_here().max(usize::from(relief));
+        let missing = demand.replicas_to_request().max(usize::from(relief));
         if missing == 0 {
             return;
         }
         let idle = self.idle_servers(now, server, key).into_iter();
-        // Those that share the demand take different servers.
-        for target in idle.skip(demand.place).step_by(demand.holders).take(missing) {
+        // Holders that share the demand choose different servers.
+        for target in idle.skip(demand.index).step_by(demand.holders).take(missing) {
             log::info!(
                 adapter = &*key.adapter, version = version, server = &**server,
-                replica = &*target, pace = pace, holders = demand.holders, load = load;
+                replica = &*target, pace = rate, holders = demand.holders, load = load;
                 "replica_wanted"
             );
-            // Of many fetches that wait, those for adapters with much demand come first. Without it
-            // an adapter with 25 requests a second, 50 of them waiting, got one replica in 5 s.
+            // Among waiting fetches, adapters in high demand come first. Without this, an adapter
+            // with 25 requests per second, 50 of them waiting, got one replica in 5 s.
             let requests = demand.per_second.round() as u16;
-            self.handler
-                .demand
-                .wish(now, LoadRequest { server: target, key: key.clone(), version, requests });
+            self.handler.demand.request_load(
+                now,
+                LoadRequest { server: target, key: key.clone(), version, requests },
+            );
         }
     }
 
-    /// The demand for an adapter at a server, with the adapter's newest version; `None` if the server
-    /// is not known to hold it, or takes no new work. Servers with an older version share their demand among themselves.
+    /// The demand for an adapter on a server, with the adapter's newest version. `None` if the
+    /// server is not known to hold the adapter or does not accept new work. Servers with an
+    /// outdated version share their demand among themselves.
     fn replica_demand(
         &self,
         now: Time,
         server: &Rc<str>,
         key: &AdapterKey,
         per_second: f64,
-        runs: Duration,
+        run_time: Duration,
     ) -> Option<(ReplicaDemand, u64)> {
         let view = self.handler.view.borrow();
         let newest = view.newest_version(key);
         let mut all = view.adapter_locations.holders(now, key);
         all.retain(|(id, _)| view.backend(id).is_some_and(|holder| view.is_open(holder)));
-        // Daemons of other regions use holders of their own, if they have any.
-        all.retain(|(id, _)| self.share_region(&view, id, server));
+        // Daemons in other regions use holders in their own region, if there are any.
+        all.retain(|(id, _)| self.is_same_region(&view, id, server));
         all.sort();
-        let (_, mine) = all.iter().find(|(id, _)| id == server)?;
+        let (_, own_version) = all.iter().find(|(id, _)| id == server)?;
         let is_current = |version: &u64| *version >= newest;
-        let alike = |version: &u64| is_current(version) == is_current(mine);
-        let sharers: Vec<_> = all.iter().filter(|(_, version)| alike(version)).collect();
+        let in_same_group = |version: &u64| is_current(version) == is_current(own_version);
+        let sharers: Vec<_> = all.iter().filter(|(_, version)| in_same_group(version)).collect();
         let demand = ReplicaDemand {
             per_second,
-            runs,
-            reads: self.handler.grants.reads(&view.backend(server)?.service),
+            run_time,
+            prefill_time: self.handler.grants.mean_prefill_time(&view.backend(server)?.service),
             slots: view.backend(server)?.slots,
             holders: sharers.len(),
             current: all.iter().filter(|(_, version)| is_current(version)).count(),
             coming: view.adapter_locations.coming(now, key, newest),
-            place: sharers.iter().position(|(id, _)| id == server)?,
+            index: sharers.iter().position(|(id, _)| id == server)?,
         };
         Some((demand, newest))
     }
 
-    fn share_region(&self, view: &FleetView, one: &str, other: &str) -> bool {
+    fn is_same_region(&self, view: &FleetView, one: &str, other: &str) -> bool {
         let regions = self.handler.locality.regions();
         let region =
             |id: &str| view.backend(id).map(|backend| regions.responsible_region(&backend.hall));
         !regions.is_multi_region() || region(one) == region(other)
     }
 
-    /// The servers of the same service that could take a replica: those of this region first, warm
-    /// ones before cold ones and the idlest first.
+    /// The servers of the same service that could take a replica, ordered by own region first, warm
+    /// before cold, and least loaded first.
     fn idle_servers(&self, now: Time, server: &Rc<str>, key: &AdapterKey) -> Vec<Rc<str>> {
         let view = self.handler.view.borrow();
         let Some(backend) = view.backend(server) else { return Vec::new() };
--- a/crates/portrack/src/gateway/selection/load_target.rs
+++ b/crates/portrack/src/gateway/selection/load_target.rs
@@ -1,60 +1,61 @@
-//! Which server an adapter is to be loaded at.
+//! Chooses the server on which an adapter is loaded.
 
-use super::crowding::home_margin;
+use super::crowding::target_margin;
 use crate::gateway::dialect::AdapterKey;
 use crate::membership::ranked;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Servers in rendezvous order among which the cheapest is taken.
-const CHOICES: usize = 2;
-/// What a fetch from the weight store costs, in requests waiting: some 280 ms, at about 20 ms each,
-/// and the store serves few at once.
+/// Number of servers, in rendezvous order, among which the cheapest is chosen.
+const CANDIDATES: usize = 2;
+/// Cost of a fetch from the weight store, in waiting requests: about 280 ms at about 20 ms per
+/// request, and the store serves only a few fetches at once.
 const FETCH_COST: f64 = 13.0;
 
-/// A server that takes orders.
+/// A server that can be ordered to load adapters.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadTarget {
-    /// Its id.
+    /// Server id.
     pub server: Rc<str>,
-    /// Requests at once there.
+    /// Number of requests that the server runs concurrently.
     pub slots: usize,
-    /// What a request would cost there.
+    /// Cost of sending a request to the server.
     pub cost: f64,
-    /// It held the adapter before and has it at hand: no fetch is needed.
+    /// Whether the server held the adapter before and has it cached, so that no fetch is needed.
     pub is_cached: bool,
-    /// It is of the region that asks.
+    /// Whether the server is in the requesting daemon's region.
     pub is_near: bool,
 }
 
 impl LoadTarget {
-    /// What loading an adapter here costs if this is the server of a rank in its rendezvous order, or of
-    /// none; `None` if it is not to be loaded here.
+    /// Cost of loading an adapter on this server, given the server's rank in the adapter's
+    /// rendezvous order. `None` if the adapter must not be loaded here.
     fn load_cost(&self, rank: Option<usize>) -> Option<f64> {
         if self.is_cached {
             return Some(self.cost - FETCH_COST);
         }
         match rank? {
             0 => Some(self.cost),
-            rank if rank < CHOICES => Some(self.cost + home_margin(self.slots)),
+            rank if rank < CANDIDATES => Some(self.cost + target_margin(self.slots)),
             _ => None,
         }
     }
 }
 
-/// The home of an adapter: the first in its rendezvous order, unless that is much busier than the
-/// next one, or a server that has the adapter at hand is not much busier. The order is of the servers of
-/// the region that asks, if it has any: a fetch costs the same there, and the way is spared.
+/// Chooses the server on which an adapter is loaded: the first in the adapter's rendezvous order,
+/// unless it is much busier than the second, or a server that has the adapter cached is not much
+/// busier. Only servers in the requesting region are ranked, if there are any: a fetch costs the
+/// same there, and requests avoid the cross-region round trip.
 pub fn choose_load_target(key: &AdapterKey, open: &[LoadTarget]) -> Option<Rc<str>> {
-    let any_near = open.iter().any(|home| home.is_near);
-    let ranking = open.iter().filter(|home| home.is_near || !any_near);
-    let order = ranked(&key.adapter, ranking.map(|home| &*home.server));
+    let any_near = open.iter().any(|target| target.is_near);
+    let ranking = open.iter().filter(|target| target.is_near || !any_near);
+    let order = ranked(&key.adapter, ranking.map(|target| &*target.server));
     let ranks: HashMap<&str, usize> =
         order.into_iter().enumerate().map(|(rank, server)| (server, rank)).collect();
-    let costed = open.iter().filter_map(|home| {
-        let rank = ranks.get(&*home.server).copied();
-        Some((home.load_cost(rank)?, rank.unwrap_or(open.len()), home))
+    let costed = open.iter().filter_map(|target| {
+        let rank = ranks.get(&*target.server).copied();
+        Some((target.load_cost(rank)?, rank.unwrap_or(open.len()), target))
     });
     let best = costed.min_by(|(a, x, _), (b, y, _)| a.total_cmp(b).then(x.cmp(y)));
-    best.map(|(_, _, home)| home.server.clone())
+    best.map(|(_, _, target)| target.server.clone())
 }
--- a/crates/portrack/src/gateway/selection/mod.rs
+++ b/crates/portrack/src/gateway/selection/mod.rs
@@ -1,8 +1,9 @@
-//! Which server takes a request, and which server an adapter is wished for at.
+//! Selects the server for a request, and the server at which an adapter should be loaded.
 //!
-//! In come a request, what servers hold and how busy they are; out go a server with the version that it
-//! must have, a wish for an adapter, or a refusal. A request never goes to a server that is leaving or
-//! outside its allowed regions, nor to a version that is out of use.
+//! Inputs are the request, the adapters that servers hold and the servers' load. The result is a
+//! server with the adapter version it must have, a request to load an adapter, or a refusal. A
+//! request is never sent to a draining server, to a server outside its allowed regions, or for a
+//! retired version.
 
 pub(in crate::gateway) mod adapter_locations;
 pub(in crate::gateway) mod candidates;
@@ -10,9 +11,9 @@
 pub(in crate::gateway) mod crowding;
 pub(in crate::gateway) mod decay;
 pub(in crate::gateway) mod demand;
-mod granted;
+mod grant_wait;
 pub(in crate::gateway) mod load;
 pub(in crate::gateway) mod load_reports;
 pub(in crate::gateway) mod load_target;
-pub(in crate::gateway) mod placing;
 pub(in crate::gateway) mod replicas;
+pub(in crate::gateway) mod server_choice;
--- a/crates/portrack/src/gateway/selection/placing.rs
+++ b/crates/portrack/src/gateway/selection/server_choice.rs
@@ -1,4 +1,4 @@
-//! Chooses the server of a request, and waits for its adapter where that is worth it.
+//! Chooses a server for a request, and waits for its adapter where that is worthwhile.
 
 use super::choose::{ScoredServer, better_of_two, cheaper_of_two, cheapest, cost};
 use super::crowding::{is_copy_worthwhile, is_crowded, is_local_copy_worthwhile};
@@ -17,29 +17,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Of its objective, a request waits this share for a sign that its adapter is coming.
-const SIGN_SHARE: f64 = 0.22;
-/// Callers give a silent stream up after this at the earliest.
-const SILENCE_FLOOR: Duration = Duration::from_secs(2);
-/// Of the time after which a caller gives up, this share is used for waiting.
-const SILENCE_SHARE: f64 = 0.7;
-/// Added to the time at which an adapter is expected, before a request is given up.
-const EXPECTED_SLACK: Duration = Duration::from_millis(700);
-/// From the start at a server to the first event, roughly.
-const FIRST_EVENT: Duration = Duration::from_millis(120);
-/// Added to the time at which a refused caller may come back for an adapter on its way.
-const COME_BACK_SLACK: Duration = Duration::from_millis(150);
-/// When to come back for an adapter that nobody is loading.
+/// Share of its latency objective that a request waits for a load of its adapter to start.
+const LOAD_START_WAIT_SHARE: f64 = 0.22;
+/// Minimum time after which callers give up on a silent stream.
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Share of the caller's timeout that may be spent waiting.
+const CALLER_TIMEOUT_SHARE: f64 = 0.7;
+/// Time added to the expected load time of an adapter before a request gives up.
+const LOAD_OVERDUE_SLACK: Duration = Duration::from_millis(700);
+/// Approximate latency of the first event on a server.
+const FIRST_EVENT_LATENCY: Duration = Duration::from_millis(120);
+/// Time added to the retry delay of a caller refused while its adapter is loading.
+const RETRY_SLACK: Duration = Duration::from_millis(150);
+/// Retry delay for an adapter that no server is loading.
 const NOT_LOADED_RETRY: Duration = Duration::from_millis(1_500);
-/// A request whose objective has passed waits for a slot for this share of it.
+/// Share of its objective that a request waits for a slot after its objective has passed.
 const LATE_WAIT_SHARE: f64 = 0.5;
-/// What this daemon found out by itself outweighs the list for this long.
-const FOUND_HOLDS: Duration = Duration::from_millis(700);
+/// How long a rejection observed by this daemon overrides the store's entries.
+const REJECTION_TTL: Duration = Duration::from_millis(700);
 
 impl RequestHandler {
-    /// A server for the next try.
+    /// Chooses a server for the next try.
     pub(in crate::gateway) async fn choose(&self, job: &Job<'_>) -> Result<Choice, Refused> {
-        self.look_for_allowed(job)?;
+        self.check_allowed_regions(job)?;
         if job.model().is_none() {
             return self.choose_plain(job).await;
         }
@@ -49,13 +49,13 @@
         }
     }
 
-    /// A server with a free slot, as the service's dispatcher knows it, or the best one as far as
-    /// known here.
+    /// A server with a free slot according to the service's dispatcher, or else the best server
+    /// according to local knowledge.
     async fn choose_plain(&self, job: &Job<'_>) -> Result<Choice, Refused> {
         if self.candidates(&self.view.borrow(), job).next().is_none() {
-            return Err(self.none_left(job));
+            return Err(self.no_server_refusal(job));
         }
-        let slot = self.slots.take(&job.service.name, self.slot_need(job)).await?;
+        let slot = self.slots.take(&job.service.name, self.slot_requirements(job)).await?;
         let view = self.view.borrow();
         let mut open = self.candidates(&view, job);
         if let Some(slot) = slot {
@@ -70,19 +70,23 @@
                 });
             }
         }
-        self.best(job, self.candidates(&view, job)).ok_or_else(|| self.none_left(job))
+        self.best(job, self.candidates(&view, job)).ok_or_else(|| self.no_server_refusal(job))
     }
 
-    fn slot_need(&self, job: &Job<'_>) -> SlotRequirements {
+    fn slot_requirements(&self, job: &Job<'_>) -> SlotRequirements {
         let now = self.clock.now();
         let objective = job.route.objective;
         let left = objective.saturating_sub(now.since(job.request.arrived));
-        // An answer that is late already is still worth a little.
+        // A late answer still has some value.
         let left = left.max(objective.mul_f64(LATE_WAIT_SHARE)).min(job.deadline.since(now));
         SlotRequirements {
-            organisation: job.admitted.organisation.as_ref().map(|all| all.name_hash()),
+            organisation: job
+                .admitted
+                .organisation
+                .as_ref()
+                .map(|organisation| organisation.name_hash()),
             time_left: left,
-            tried: self.barred(job),
+            tried: self.excluded_servers(job),
         }
     }
 
@@ -91,7 +95,7 @@
         let model = job.model().map(|model| model.model.clone()).unwrap_or_default();
         let open = self.candidates(&view, job);
         let holding = open.filter(|backend| backend.model(&model).is_some());
-        self.best(job, holding).ok_or_else(|| self.none_left(job))
+        self.best(job, holding).ok_or_else(|| self.no_server_refusal(job))
     }
 
     fn best<'a>(
@@ -113,41 +117,43 @@
 
     async fn choose_adapter(&self, job: &Job<'_>, key: &AdapterKey) -> Result<Choice, Refused> {
         let arrived = job.request.arrived;
-        // After a failed try the caller's patience counts from what it heard last, about now.
-        let heard_last = if job.sends == 0 { arrived } else { self.clock.now() };
-        // A request that found no room within its server's limit looks for a sign anew: it could not know that before.
+        // After a failed try, the caller's timeout counts from the data it received last, which is
+        // about now.
+        let last_output_at = if job.sends == 0 { arrived } else { self.clock.now() };
+        // A request that found its server at the limit waits anew for a load to start, because it
+        // could not know about the limit before.
         let is_first = job.sends == 0 && job.servers_at_limit.borrow().is_empty();
         let since = if is_first { arrived } else { self.clock.now() };
-        let sign_by = since + job.route.objective.mul_f64(SIGN_SHARE);
-        let in_time = arrived + job.route.objective.saturating_sub(FIRST_EVENT);
-        let give_up = heard_last + patience(&job.route);
+        let load_start_by = since + job.route.objective.mul_f64(LOAD_START_WAIT_SHARE);
+        let objective_deadline = arrived + job.route.objective.saturating_sub(FIRST_EVENT_LATENCY);
+        let give_up = last_output_at + max_silence(&job.route);
         let mut missed = false;
         if job.sends == 0 {
-            self.demand.asked(self.clock.now(), key);
+            self.demand.record_request(self.clock.now(), key);
         }
         loop {
             if let Some(choice) = self.holder(job, key) {
                 return Ok(choice);
             }
-            // Where all servers are closed or cut off, waiting for the adapter is of no use.
-            if !self.can_reach_candidate(job) {
-                return Err(self.none_left(job));
+            // If all servers are closed or unreachable, waiting for the adapter is pointless.
+            if !self.has_reachable_candidate(job) {
+                return Err(self.no_server_refusal(job));
             }
             if !missed {
                 missed = true;
-                self.demand.missed(key);
+                self.demand.record_miss(key);
             }
-            self.wish(job, key, Where::Anywhere);
+            self.request_load_for(job, key, LoadScope::AnyRegion);
             let now = self.clock.now();
             let expected = self.view.borrow().expected(now, key);
-            self.note_adapter(job, now, expected);
-            let fast = now < sign_by && is_first;
+            self.record_adapter_wait(job, now, expected);
+            let refuse_early = now < load_start_by && is_first;
             let until = match expected {
-                Some(at) if at > in_time && fast => {
-                    return Err(not_loaded(at.since(now) + COME_BACK_SLACK));
+                Some(at) if at > objective_deadline && refuse_early => {
+                    return Err(not_loaded(at.since(now) + RETRY_SLACK));
                 }
-                Some(at) => (at + EXPECTED_SLACK).min(give_up),
-                None => sign_by.min(give_up),
+                Some(at) => (at + LOAD_OVERDUE_SLACK).min(give_up),
+                None => load_start_by.min(give_up),
             };
             if now >= until {
                 return Err(not_loaded(NOT_LOADED_RETRY));
@@ -157,8 +163,8 @@
         }
     }
 
-    /// Keeps what is known of a missing adapter for the request's log line.
-    fn note_adapter(&self, job: &Job<'_>, now: Time, expected: Option<Time>) {
+    /// Records the state of a missing adapter for the request's log line.
+    fn record_adapter_wait(&self, job: &Job<'_>, now: Time, expected: Option<Time>) {
         let waited = now.since(job.request.arrived).as_millis();
         *job.adapter_note.borrow_mut() = match expected {
             Some(at) => format!("expected_in_{}ms_after_{waited}ms", at.since(now).as_millis()),
@@ -166,28 +172,36 @@
         };
     }
 
-    /// Wishes for an adapter at its home, if some daemon may order a server for it.
-    fn wish(&self, job: &Job<'_>, key: &AdapterKey, at: Where) {
-        let wanted = Wanted { service: &job.service.name, key, requests: 0, at };
+    /// Requests a load of the adapter on its load target, if some daemon holds the claim on a
+    /// suitable server.
+    fn request_load_for(&self, job: &Job<'_>, key: &AdapterKey, at: LoadScope) {
+        let wanted = WantedAdapter { service: &job.service.name, key, requests: 0, at };
         let full = job.servers_at_limit.borrow();
-        self.wish_among(wanted, |backend| {
+        self.request_load_among(wanted, |backend| {
             self.may_serve(job, backend) && !full.contains(&backend.id)
         });
     }
 
-    /// Wishes for an adapter at its home for some requests besides those that missed it; true if that
-    /// was done.
+    /// Requests a load of an adapter on its load target for a number of requests, in addition to
+    /// those that missed it. Returns whether a load was requested.
     pub(in crate::gateway) fn request_load(
         &self,
         service: &str,
         key: &AdapterKey,
         requests: u16,
     ) -> bool {
-        self.wish_among(Wanted { service, key, requests, at: Where::Anywhere }, |_| true)
+        self.request_load_among(
+            WantedAdapter { service, key, requests, at: LoadScope::AnyRegion },
+            |_| true,
+        )
     }
 
-    fn wish_among(&self, wanted: Wanted<'_>, may_serve: impl Fn(&Backend) -> bool) -> bool {
-        let Wanted { service, key, requests, at } = wanted;
+    fn request_load_among(
+        &self,
+        wanted: WantedAdapter<'_>,
+        may_serve: impl Fn(&Backend) -> bool,
+    ) -> bool {
+        let WantedAdapter { service, key, requests, at } = wanted;
         let now = self.clock.now();
         let view = self.view.borrow();
         if view.expected(now, key).is_some() {
@@ -196,23 +210,24 @@
         let version = view.newest_version(key);
         let outdated = view.adapter_locations.holders(now, key);
         let open = view.open_backends(service).filter(|backend| {
-            let here = at == Where::Anywhere || !self.locality.is_remote(&backend.hall);
+            let in_scope = at == LoadScope::AnyRegion || !self.locality.is_remote(&backend.hall);
             let holds = backend.model(&key.model).is_some();
-            let old = outdated.iter().any(|(id, _)| *id == backend.id);
+            let is_outdated = outdated.iter().any(|(id, _)| *id == backend.id);
             let refused = view.adapter_locations.is_refused(now, key, &backend.id);
-            let cut = self.loads.is_hall_silent(&backend.hall);
-            here && may_serve(backend)
+            let unreachable = self.loads.is_hall_silent(&backend.hall);
+            in_scope
+                && may_serve(backend)
                 && holds
-                && !old
+                && !is_outdated
                 && !refused
-                && !cut
+                && !unreachable
                 && (self.is_ordered)(&backend.id)
         });
-        let (full, roomy): (Vec<_>, Vec<_>) =
+        let (full, with_capacity): (Vec<_>, Vec<_>) =
             open.partition(|backend| self.backpressure.is_full(backend.incarnation_hash()));
-        // What is loaded at a server without room within its limit could not be used there.
-        let among = if roomy.is_empty() { full } else { roomy };
-        let homes: Vec<LoadTarget> = among
+        // An adapter loaded on a server at its limit could not be used there.
+        let among = if with_capacity.is_empty() { full } else { with_capacity };
+        let targets: Vec<LoadTarget> = among
             .into_iter()
             .map(|backend| LoadTarget {
                 server: backend.id.clone(),
@@ -222,87 +237,89 @@
                 is_cached: view.adapter_locations.is_cached(key, &backend.id, version),
             })
             .collect();
-        let replaceable = || match at {
-            Where::Anywhere => self.replaceable(&view, &outdated, &may_serve),
-            Where::Near => None,
+        let outdated_holder = || match at {
+            LoadScope::AnyRegion => self.outdated_holder(&view, &outdated, &may_serve),
+            LoadScope::OwnRegion => None,
         };
-        let Some(server) = choose_load_target(key, &homes).or_else(replaceable) else {
+        let Some(server) = choose_load_target(key, &targets).or_else(outdated_holder) else {
             return false;
         };
-        self.demand.wish(now, LoadRequest { server, key: key.clone(), version, requests })
+        self.demand.request_load(now, LoadRequest { server, key: key.clone(), version, requests })
     }
 
-    /// A server that holds an older version, for an adapter that has no other home.
-    fn replaceable(
+    /// A server that holds an outdated version, for an adapter without any other load target.
+    fn outdated_holder(
         &self,
         view: &FleetView,
         outdated: &[(Rc<str>, u64)],
         may_serve: impl Fn(&Backend) -> bool,
     ) -> Option<Rc<str>> {
-        let takes = |id: &str| {
+        let accepts = |id: &str| {
             view.backend(id).is_some_and(|backend| view.is_open(backend) && may_serve(backend))
         };
-        let ordered = outdated.iter().find(|(id, _)| takes(id) && (self.is_ordered)(id));
+        let ordered = outdated.iter().find(|(id, _)| accepts(id) && (self.is_ordered)(id));
         ordered.map(|(id, _)| id.clone())
     }
 
-    /// A server that holds the adapter and takes new work, or one whose data hall is being left.
+    /// A server that holds the adapter and accepts new work, or else one in a data hall that is
+    /// being closed.
     fn holder(&self, job: &Job<'_>, key: &AdapterKey) -> Option<Choice> {
-        if let Some(open) = self.holder_among(job, key, takes_all) {
+        if let Some(open) = self.holder_among(job, key, accepts_new_work) {
             return Some(open);
         }
-        let leaving = self.holder_among(job, key, FleetView::is_closing)?;
-        self.demand.missed(key);
-        self.wish(job, key, Where::Anywhere);
-        Some(leaving)
+        let closing = self.holder_among(job, key, FleetView::is_closing)?;
+        self.demand.record_miss(key);
+        self.request_load_for(job, key, LoadScope::AnyRegion);
+        Some(closing)
     }
 
-    /// The cheapest server that holds the adapter: the newest version, or an older one for a while
-    /// where the newest is missing or its servers are crowded.
-    fn holder_among(&self, job: &Job<'_>, key: &AdapterKey, takes: Takes) -> Option<Choice> {
+    /// The cheapest server that holds the adapter at the newest version. An outdated version is
+    /// used during its grace period if the newest one is missing or its servers are crowded.
+    fn holder_among(&self, job: &Job<'_>, key: &AdapterKey, accepts: AcceptFn) -> Option<Choice> {
         let now = self.clock.now();
         let usable = self.view.borrow().usable_versions(now, key);
         let newest = usable.map_or(FIRST_VERSION, |versions| versions.newest);
         let oldest = usable.map_or(FIRST_VERSION, |versions| versions.oldest);
-        let (current, outdated) = self.holders(job, key, newest, takes);
+        let (current, outdated) = self.holders(job, key, newest, accepts);
         let id = &job.request.meta.id;
-        let lag = self.loads_are_delayed.get();
-        let best = self.spread(id, &current, lag);
+        let delayed = self.loads_are_delayed.get();
+        let best = self.pick_holder(id, &current, delayed);
         let crowded = best.is_none_or(|best| is_crowded(best.backend.slots, best.cost));
-        // An older version must not begin late: a request for it goes only where it need not wait.
-        let older = outdated.iter().filter(|old| old.version >= oldest);
-        let older = older.filter(|old| !is_crowded(old.backend.slots, old.cost));
+        // A request must not start late with an outdated version, so it is sent only where it need
+        // not wait.
+        let older = outdated.iter().filter(|holder| holder.version >= oldest);
+        let older = older.filter(|holder| !is_crowded(holder.backend.slots, holder.cost));
         let older: Vec<Holder> = older.filter(|_| crowded).cloned().collect();
-        if let Some(old) = self.spread(id, &older, lag) {
-            self.demand.missed(key);
-            self.wish(job, key, Where::Anywhere);
+        if let Some(old) = self.pick_holder(id, &older, delayed) {
+            self.demand.record_miss(key);
+            self.request_load_for(job, key, LoadScope::AnyRegion);
             return Some(chosen(job, old, usable));
         }
         let best = best?;
         if self.needs_copy(job, key, best.backend.slots, best.cost) {
-            self.wish(job, key, Where::Anywhere);
-        } else if self.needs_near_copy(key, &current) {
-            self.wish(job, key, Where::Near);
+            self.request_load_for(job, key, LoadScope::AnyRegion);
+        } else if self.needs_local_copy(key, &current) {
+            self.request_load_for(job, key, LoadScope::OwnRegion);
         }
         Some(chosen(job, best, usable))
     }
 
-    /// The untried servers that hold an adapter, those with the newest version and the others; the
-    /// cheapest first.
+    /// The untried servers that hold an adapter, those with the newest version and the others, each
+    /// sorted by ascending cost.
     fn holders(
         &self,
         job: &Job<'_>,
         key: &AdapterKey,
         newest: u64,
-        takes: Takes,
+        accepts: AcceptFn,
     ) -> (Vec<Holder>, Vec<Holder>) {
         let now = self.clock.now();
         let view = self.view.borrow();
         let holders = view.adapter_locations.holders(now, key).into_iter();
         let untried = holders.filter_map(|(id, version)| {
             let backend = view.backend(&id)?;
-            let cut = self.loads.is_hall_silent(&backend.hall);
-            let open = takes(&view, now, backend) && !cut && self.may_serve(job, backend);
+            let unreachable = self.loads.is_hall_silent(&backend.hall);
+            let open = accepts(&view, now, backend) && !unreachable && self.may_serve(job, backend);
             let cost = cost(now, &self.loads, &self.locality, backend);
             let holder = Holder { backend: backend.clone(), cost, version };
             (open && !job.is_excluded(&backend.id)).then_some(holder)
@@ -312,8 +329,8 @@
         sorted.into_iter().partition(|holder| holder.version >= newest)
     }
 
-    /// Another untried server that could serve the request as well as those `asked`: the better of
-    /// two.
+    /// Another untried server, not among those `asked`, that could serve the request as well: the
+    /// better of two.
     pub(super) fn other_holder(&self, job: &Job<'_>, asked: &[Rc<str>]) -> Option<Choice> {
         let now = self.clock.now();
         let Some(key) = job.adapter().filter(|_| job.model().is_some()) else {
@@ -327,15 +344,17 @@
         };
         let usable = self.view.borrow().usable_versions(now, &key);
         let newest = usable.map_or(FIRST_VERSION, |versions| versions.newest);
-        let (mut current, _) = self.holders(job, &key, newest, takes_all);
+        let (mut current, _) = self.holders(job, &key, newest, accepts_new_work);
         current.retain(|holder| !asked.contains(&holder.backend.id));
-        let other = self.spread(&job.request.meta.id, &current, self.loads_are_delayed.get())?;
+        let other =
+            self.pick_holder(&job.request.meta.id, &current, self.loads_are_delayed.get())?;
         Some(chosen(job, other, usable))
     }
 
-    /// True if a server that was chosen a while ago still takes the request, with the version that was
-    /// chosen then: in the wait its grace may have ended, and it must not begin late.
-    pub(super) fn still_takes(&self, job: &Job<'_>, choice: &Choice) -> bool {
+    /// Returns whether a server chosen earlier still accepts the request at the version chosen
+    /// then. The grace period of the server or the version may have ended during the wait, and a
+    /// request must not start after that.
+    pub(super) fn still_accepts(&self, job: &Job<'_>, choice: &Choice) -> bool {
         let now = self.clock.now();
         let view = self.view.borrow();
         let open = view.accepts_requests(now, &choice.backend.id);
@@ -349,7 +368,8 @@
         open && holds && is_usable
     }
 
-    /// True if an adapter is asked for so much that a much idler server should have it as well.
+    /// Returns whether demand for an adapter is high enough that a much less loaded server should
+    /// hold it too.
     fn needs_copy(&self, job: &Job<'_>, key: &AdapterKey, slots: usize, cost_here: f64) -> bool {
         if !is_crowded(slots, cost_here) {
             return false;
@@ -359,31 +379,32 @@
         let open = self.candidates(&view, job);
         let costs = open.map(|backend| cost(now, &self.loads, &self.locality, backend));
         let idlest = costs.fold(f64::MAX, f64::min);
-        is_copy_worthwhile(slots, cost_here, idlest, self.demand.asks(now, key))
+        is_copy_worthwhile(slots, cost_here, idlest, self.demand.recent_requests(now, key))
     }
 
-    /// True if only servers of other regions hold an adapter that is asked for again and again here.
-    fn needs_near_copy(&self, key: &AdapterKey, holders: &[Holder]) -> bool {
+    /// Returns whether only servers in other regions hold an adapter that is requested repeatedly
+    /// here.
+    fn needs_local_copy(&self, key: &AdapterKey, holders: &[Holder]) -> bool {
         let far = holders.iter().all(|holder| self.locality.is_remote(&holder.backend.hall));
-        far && is_local_copy_worthwhile(self.demand.asks(self.clock.now(), key))
+        far && is_local_copy_worthwhile(self.demand.recent_requests(self.clock.now(), key))
     }
 
-    /// The first of some holders, which come with the cheapest first; where loads are known late, the
-    /// better of two that are chosen at random among those that are not in trouble.
-    fn spread<'a>(
+    /// Picks one of the holders, which are sorted by ascending cost: the first, or, if loads are
+    /// delayed, the better of two healthy holders chosen at random.
+    fn pick_holder<'a>(
         &self,
         id: &str,
         holders: &'a [Holder],
         loads_are_delayed: bool,
     ) -> Option<&'a Holder> {
-        let offer =
+        let score =
             |holder: &Holder| ScoredServer::new(holder.cost, &self.locality, &holder.backend);
-        let offers = || holders.iter().map(offer).collect::<Vec<ScoredServer>>();
-        let at = if loads_are_delayed { better_of_two(id, &offers()) } else { 0 };
+        let scored = || holders.iter().map(score).collect::<Vec<ScoredServer>>();
+        let at = if loads_are_delayed { better_of_two(id, &scored()) } else { 0 };
         holders.get(at)
     }
 
-    /// True if a server is left that was not tried.
+    /// Returns whether an untried server is left.
     pub(in crate::gateway) fn has_untried(&self, job: &Job<'_>) -> bool {
         match job.adapter() {
             Some(_) if job.model().is_some() => true,
@@ -395,7 +416,8 @@
         }
     }
 
-    /// A server that turned a request for an adapter away does not hold it, or not that version.
+    /// Records that a server rejected a request for an adapter (status 421), so it does not hold
+    /// the adapter or that version.
     pub(in crate::gateway) fn record_misdirected(
         &self,
         job: &Job<'_>,
@@ -409,47 +431,48 @@
         }
         let (server, version) = (&choice.backend.id, choice.adapter_version);
         let mut view = self.view.borrow_mut();
-        view.adapter_locations.record_rejection(now, &key, server, version, now + FOUND_HOLDS);
+        view.adapter_locations.record_rejection(now, &key, server, version, now + REJECTION_TTL);
     }
 }
 
-/// Whether a server takes a request, as the view tells it.
-type Takes = fn(&FleetView, Time, &Backend) -> bool;
+/// Returns whether a server accepts a request, according to the fleet view.
+type AcceptFn = fn(&FleetView, Time, &Backend) -> bool;
 
-/// A server that takes new work of any kind.
-fn takes_all(view: &FleetView, _: Time, server: &Backend) -> bool {
+/// Returns whether a server accepts any new work.
+fn accepts_new_work(view: &FleetView, _: Time, server: &Backend) -> bool {
     view.is_open(server)
 }
 
-/// An adapter that is wished for.
-struct Wanted<'a> {
+/// An adapter for which a load is requested.
+struct WantedAdapter<'a> {
     service: &'a str,
     key: &'a AdapterKey,
-    /// Requests besides those that missed it.
+    /// Requests in addition to those that missed the adapter.
     requests: u16,
-    at: Where,
+    at: LoadScope,
 }
 
-/// Where an adapter is wished for.
+/// Where an adapter may be loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Where {
-    /// At its home.
-    Anywhere,
-    /// At its home in this region, beside copies in others.
-    Near,
+enum LoadScope {
+    /// On any server.
+    AnyRegion,
+    /// Only on a server in this region, in addition to copies in other regions.
+    OwnRegion,
 }
 
 /// A server that holds an adapter.
 #[derive(Debug, Clone)]
 struct Holder {
     backend: Rc<Backend>,
-    /// What a request would cost there.
+    /// Cost of sending a request to the server.
     cost: f64,
-    /// The adapter's version there.
+    /// The adapter version that the server holds.
     version: u64,
 }
 
-/// A holder as a request's choice, with the reasons kept for the request's log line.
+/// Turns a holder into the request's choice, and keeps the version details for the request's log
+/// line.
 fn chosen(job: &Job<'_>, holder: &Holder, usable: Option<UsableVersions>) -> Choice {
     let version = VersionChoice { held: holder.version, usable };
     job.progress.version.set(Some(version));
@@ -461,11 +484,11 @@
     }
 }
 
-/// How long a request may wait for its adapter before its caller gives up.
-pub(super) fn patience(route: &Route) -> Duration {
+/// How long a request may wait without sending its caller anything before the caller gives up.
+pub(super) fn max_silence(route: &Route) -> Duration {
     let gaps = route.gap_objective.unwrap_or_default() * 8;
-    let silence = SILENCE_FLOOR.max(route.objective * 4).max(gaps);
-    silence.mul_f64(SILENCE_SHARE).min(route.timeout / 2)
+    let silence = MIN_CALLER_TIMEOUT.max(route.objective * 4).max(gaps);
+    silence.mul_f64(CALLER_TIMEOUT_SHARE).min(route.timeout / 2)
 }
 
 fn not_loaded(retry_after: Duration) -> Refused {
--- a/crates/portrack/tests/gateway/demand.rs
+++ b/crates/portrack/tests/gateway/demand.rs
@@ -1,4 +1,4 @@
-//! What requests use, until the daemons that order the servers are told.
+//! Adapter usage and load requests until they are reported.
 
 use crate::support::key;
 use portrack::Time;
@@ -10,36 +10,41 @@
 }
 
 #[test]
-fn what_begins_or_ceases_to_be_used_is_told_at_once_and_the_rest_in_turn() {
-    let log = Rc::new(AdapterDemandTracker::default());
+fn usage_changes_are_reported_at_once_and_counts_periodically() {
+    let tracker = Rc::new(AdapterDemandTracker::default());
     let server: Rc<str> = "s1".into();
-    let first = log.begin(&server, &key("a1"));
-    let second = log.begin(&server, &key("a1"));
-    assert_eq!(log.take_changed(), [used(&server, 2, true)]);
-    let third = log.begin(&server, &key("a1"));
-    assert!(log.take_changed().is_empty(), "it ran already");
-    assert_eq!(log.take_usage(), [used(&server, 1, true)]);
+    let first = tracker.begin(&server, &key("a1"));
+    let second = tracker.begin(&server, &key("a1"));
+    assert_eq!(tracker.take_changed(), [used(&server, 2, true)]);
+    let third = tracker.begin(&server, &key("a1"));
+    assert!(tracker.take_changed().is_empty(), "it was in use already");
+    assert_eq!(tracker.take_usage(), [used(&server, 1, true)]);
     drop((first, second));
-    assert_eq!(log.take_usage(), [used(&server, 0, true)], "it runs still");
-    assert!(log.take_changed().is_empty());
+    assert_eq!(tracker.take_usage(), [used(&server, 0, true)], "it is still in use");
+    assert!(tracker.take_changed().is_empty());
     drop(third);
-    assert_eq!(log.take_changed(), [used(&server, 0, false)]);
-    assert!(log.take_usage().is_empty());
-    drop(log.begin(&server, &key("a1")));
-    assert_eq!(log.take_usage(), [used(&server, 1, false)], "it began and ended");
-    let _again = log.begin(&server, &key("a1"));
-    assert_eq!(log.take_changed().last(), Some(&used(&server, 1, true)), "it was idle");
+    assert_eq!(tracker.take_changed(), [used(&server, 0, false)]);
+    assert!(tracker.take_usage().is_empty());
+    drop(tracker.begin(&server, &key("a1")));
+    assert_eq!(tracker.take_usage(), [used(&server, 1, false)], "it started and ended");
+    let _again = tracker.begin(&server, &key("a1"));
+    assert_eq!(
+        tracker.take_changed().last(),
+        Some(&used(&server, 1, true)),
+        "it was not in use before"
+    );
 }
 
 #[test]
-fn a_wish_tells_the_requests_that_it_helps_and_those_that_missed_the_adapter() {
-    let log = AdapterDemandTracker::default();
-    let wish = |requests| LoadRequest { server: "s1".into(), key: key("a1"), version: 1, requests };
-    log.missed(&key("a1"));
-    log.wish(Time(0), wish(25));
-    assert_eq!(log.take_load_requests(), [wish(26)]);
-    log.wish(Time(100), wish(25));
-    assert!(log.take_load_requests().is_empty(), "that was just done");
-    log.wish(Time(500), wish(0));
-    assert_eq!(log.take_load_requests(), [wish(0)]);
+fn load_request_includes_requests_that_missed_the_adapter() {
+    let tracker = AdapterDemandTracker::default();
+    let request =
+        |requests| LoadRequest { server: "s1".into(), key: key("a1"), version: 1, requests };
+    tracker.record_miss(&key("a1"));
+    tracker.request_load(Time(0), request(25));
+    assert_eq!(tracker.take_load_requests(), [request(26)]);
+    tracker.request_load(Time(100), request(25));
+    assert!(tracker.take_load_requests().is_empty(), "it was requested a moment ago");
+    tracker.request_load(Time(500), request(0));
+    assert_eq!(tracker.take_load_requests(), [request(0)]);
 }
--- a/crates/portrack/tests/gateway/replicas.rs
+++ b/crates/portrack/tests/gateway/replicas.rs
@@ -1,54 +1,54 @@
-//! How many servers an adapter should be loaded at.
+//! The number of servers on which an adapter should be loaded.
 
 use crate::support::ms;
 use portrack::gateway::{ReplicaDemand, mean_run_time};
 use std::time::Duration;
 
-/// Demand at one server of 24 slots whose requests run for 1.8 s.
-fn demand(per_second: f64, holders: usize, place: usize) -> ReplicaDemand {
+/// Demand on one server with 24 slots whose requests run for 1.8 s.
+fn demand(per_second: f64, holders: usize, index: usize) -> ReplicaDemand {
     ReplicaDemand {
         per_second,
-        runs: ms(1_800),
-        reads: Duration::ZERO,
+        run_time: ms(1_800),
+        prefill_time: Duration::ZERO,
         slots: 24,
         holders,
         current: holders,
         coming: 0,
-        place,
+        index,
     }
 }
 
 #[test]
-fn what_one_server_bears_needs_no_replica() {
-    assert_eq!(demand(5.0, 1, 0).missing_here(), 0);
+fn demand_within_one_server_needs_no_replica() {
+    assert_eq!(demand(5.0, 1, 0).replicas_to_request(), 0);
 }
 
 #[test]
-fn sixty_requests_a_second_need_ten_servers_and_not_all_are_asked_for_at_once() {
-    assert_eq!(demand(60.0, 1, 0).missing_here(), 4);
-    let rest = (0..5).map(|place| demand(12.0, 5, place).missing_here()).sum::<usize>();
-    assert_eq!(rest, 5, "each holder asks for its part of the five that are missing");
-    let enough = (0..10).map(|place| demand(6.0, 10, place).missing_here()).sum::<usize>();
+fn sixty_requests_per_second_need_ten_servers_requested_in_steps() {
+    assert_eq!(demand(60.0, 1, 0).replicas_to_request(), 4);
+    let rest = (0..5).map(|index| demand(12.0, 5, index).replicas_to_request()).sum::<usize>();
+    assert_eq!(rest, 5, "each holder requests its part of the five missing replicas");
+    let enough = (0..10).map(|index| demand(6.0, 10, index).replicas_to_request()).sum::<usize>();
     assert_eq!(enough, 0);
 }
 
 #[test]
-fn what_is_on_its_way_counts() {
-    let on_its_way = ReplicaDemand { coming: 9, ..demand(60.0, 1, 0) };
-    assert_eq!(on_its_way.missing_here(), 0);
+fn loading_replicas_count() {
+    let loading = ReplicaDemand { coming: 9, ..demand(60.0, 1, 0) };
+    assert_eq!(loading.replicas_to_request(), 0);
 }
 
 #[test]
-fn the_demand_at_servers_with_an_older_version_calls_for_as_many_with_the_newest() {
-    let older = |place| ReplicaDemand { current: 1, ..demand(12.0, 5, place) };
-    let missing = (0..5).map(|place| older(place).missing_here()).sum::<usize>();
-    assert_eq!(missing, 9, "ten are wanted, one is there");
+fn demand_for_an_outdated_version_requires_as_many_holders_of_the_newest() {
+    let older = |index| ReplicaDemand { current: 1, ..demand(12.0, 5, index) };
+    let missing = (0..5).map(|index| older(index).replicas_to_request()).sum::<usize>();
+    assert_eq!(missing, 9, "ten are wanted, one exists");
 }
 
 #[test]
-fn the_time_that_requests_run_follows_from_how_many_run() {
+fn run_time_follows_from_the_number_of_running_requests() {
     assert_eq!(mean_run_time(18.0, 10.0), ms(1_800));
-    assert_eq!(mean_run_time(0.0, 0.0), ms(1_500), "a guess while nothing is known");
+    assert_eq!(mean_run_time(0.0, 0.0), ms(1_500), "the default while nothing is known");
     assert_eq!(mean_run_time(0.0, 10.0), ms(300));
     assert_eq!(mean_run_time(1_000.0, 2.0), ms(10_000));
 }
