--- a/crates/portrack/tests/gateway/crowding.rs
+++ b/crates/portrack/tests/gateway/crowding.rs
@@ -1,20 +1,20 @@
-//! When a further copy of an adapter is fetched.
+//! When another copy of an adapter is worthwhile.
 
 use portrack::gateway::is_copy_worthwhile;
 
 #[test]
-fn what_is_asked_for_now_and_then_gets_no_copy() {
+fn rarely_requested_adapter_gets_no_copy() {
     assert!(!is_copy_worthwhile(64, 60.0, 0.0, 1.0));
     assert!(is_copy_worthwhile(64, 60.0, 0.0, 6.0));
 }
 
 #[test]
-fn a_server_with_free_slots_is_not_crowded() {
+fn server_with_free_slots_is_not_crowded() {
     assert!(!is_copy_worthwhile(64, 25.0, 0.0, 50.0));
-    assert!(is_copy_worthwhile(12, 11.0, 0.0, 50.0), "the same in slots of a smaller server");
+    assert!(is_copy_worthwhile(12, 11.0, 0.0, 50.0), "the same share of a smaller server's slots");
 }
 
 #[test]
-fn where_all_are_as_crowded_a_copy_helps_nobody() {
+fn copy_is_not_worthwhile_if_all_servers_are_crowded() {
     assert!(!is_copy_worthwhile(64, 60.0, 50.0, 50.0));
 }
--- a/crates/portrack/tests/gateway/timings.rs
+++ b/crates/portrack/tests/gateway/timings.rs
@@ -1,18 +1,18 @@
-//! The times of a request for its log line.
+//! The timings of a request for its log line.
 
 use portrack::gateway::Timings;
 use portrack::types::Time;
 use std::time::Duration;
 
 #[test]
-fn a_request_that_was_never_sent_has_no_times() {
+fn unsent_request_has_no_timings() {
     let timings = Timings::default();
     assert_eq!((timings.sent_ms(Time(50)), timings.first_ms(Time(50))), (-1, -1));
     assert_eq!(timings.longest_pause(), Duration::ZERO);
 }
 
 #[test]
-fn the_last_send_the_first_part_and_the_longest_pause_are_told() {
+fn reports_the_last_send_first_chunk_and_longest_pause() {
     let timings = Timings::default();
     timings.record_sent(Time(10));
     timings.record_sent(Time(30));
