--- a/crates/portrack/src/gateway/admission/credential.rs
+++ b/crates/portrack/src/gateway/admission/credential.rs
@@ -1,13 +1,13 @@
-//! What a caller shows to be let in.
+//! The credentials of callers.
 
 use crate::gateway::hex;
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Bytes of a digest: no two of the keys in use share one by chance, and none can be found from it.
+/// Bytes of a digest: enough that keys in use do not collide, and that no key can be found from it.
 const LENGTH: usize = 16;
 
-/// Stands for a key wherever it is kept, compared or handed on.
+/// Digest of an API key, used wherever the key is stored, compared or passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyDigest([u8; LENGTH]);
 
@@ -20,7 +20,7 @@
         Self(digest)
     }
 
-    /// Reads a digest that was written with [`fmt::Display`].
+    /// Parses a digest that was formatted with [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         hex::read(text).map(Self)
     }
@@ -32,15 +32,15 @@
     }
 }
 
-/// What a request shows.
+/// The credential of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// No key.
     #[default]
     Missing,
     /// Several keys.
     Multiple,
-    /// Something that is no key.
+    /// A value that is not a key.
     Malformed,
     /// One key.
     Key(KeyDigest),
--- a/crates/portrack/src/gateway/admission/ledger.rs
+++ b/crates/portrack/src/gateway/admission/ledger.rs
@@ -1,88 +1,91 @@
-//! What an accountant has counted of each organisation, with what the others tell.
+//! The accounts of a quota accountant: its own counts of each organisation, and those of its peers.
 //!
-//! Each data hall has an accountant for an organisation, which daemons of that hall ask before they
-//! send a request. Accountants tell each other what they have admitted so far, so each knows what the
-//! whole fleet has, a tenth of a second late at most where it matters; what is admitted meanwhile
-//! becomes a debt that is paid back at once. One that falls silent is taken to go on with its part.
+//! Each data hall has an accountant for an organisation, which the daemons of that hall ask before they
+//! send a request. Accountants send each other the number of units that they have admitted, so that each
+//! knows the fleet's total, at most a tenth of a second late for organisations near their limit; what is
+//! admitted in the meantime becomes a debt that is paid off first. An accountant that falls silent is
+//! assumed to keep admitting its share.
 
 use super::bucket::TokenBucket;
 use super::organisations::{OrganisationHash, Quota};
-use super::pace::DecayingRate;
 use super::quotas::QuotaCount;
+use super::rate::DecayingRate;
 use crate::types::Time;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An accountant that tells nothing for so long is silent: two tellings are lost. A hall is if all of its
-/// accountants are.
-const SILENT_AFTER: Duration = Duration::from_millis(650);
-/// The part of a silent hall is held back for so long: until its keys cannot be proved any more, and a
-/// window passes.
-const HELD_BACK: Duration = Duration::from_secs(12);
-/// The part of one silent accountant, where another one of its hall is heard: it may have ended, or be
-/// cut off with daemons that go on asking it while their keys can be proved. With 22 of 72 nodes cut off
-/// together, accountants among them, no hall was silent to anybody, and both sides gave out the limit.
-const STEPPED_IN: Duration = Duration::from_millis(4_500);
-/// An account is closed that was neither asked nor told anything for so long.
-const CLOSED_AFTER: Duration = Duration::from_secs(30);
-/// Only accounts that were asked within this tell the others.
-const TELLS_FOR: Duration = Duration::from_secs(12);
-/// A new account believes the first level it is told within this.
-const YOUNG: Duration = Duration::from_millis(1_000);
-/// The longest time after which a refused caller is told to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(8);
+/// Time without a report after which an accountant is silent: two reports are lost. A hall is silent if
+/// all of its accountants are.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(650);
+/// How long the share of a silent hall stays reserved: until its proof of keys has expired and a
+/// further window has passed.
+const HALL_RESERVE_TIME: Duration = Duration::from_secs(12);
+/// How long the share of a silent accountant stays reserved if another one of its hall is active: it
+/// may have stopped, or be partitioned with daemons that keep asking it until their proof of keys
+/// expires. With 22 of 72 nodes in a partition of their own, accountants among them, no hall was
+/// silent to either side, and both sides granted the whole quota.
+const ACCOUNTANT_RESERVE_TIME: Duration = Duration::from_millis(4_500);
+/// Time without requests and peer reports after which an account is closed.
+const ACCOUNT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time since the last request during which an account is reported to peers.
+const REPORTING_TIME: Duration = Duration::from_secs(12);
+/// Age up to which a new account adopts the level of a peer with an older account.
+const NEW_ACCOUNT_AGE: Duration = Duration::from_millis(1_000);
+/// Maximum retry delay for a refused caller.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(8);
 
-/// What an accountant says to a request.
+/// Decision of an accountant on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// It is within the quota.
+    /// The request is within the quota.
     Granted,
-    /// It is beyond the quota; when there may be room again.
+    /// The request exceeds the quota; it may be retried after this time.
     Refused(Duration),
 }
 
-/// Another accountant of an organisation.
+/// State of another accountant of an organisation.
 #[derive(Debug, Clone)]
-struct Other {
+struct PeerAccountant {
     hall: Rc<str>,
     born: u64,
     admitted: f64,
-    pace: f64,
-    /// Its part of what the whole fleet sent when it was heard: while it is silent, that is its part of
-    /// the limit, however much the demand at either side grows.
+    rate: f64,
+    /// Its share of the fleet's traffic at its last report. While it is silent, this stays its share of
+    /// the quota, however much the demand grows on either side.
     share: f64,
-    heard_at: Time,
+    received_at: Time,
 }
 
-/// An accountant that has fallen silent, and may go on.
+/// An accountant that has fallen silent but may still admit requests.
 #[derive(Debug, Clone, Copy)]
-struct SilentOther {
+struct SilentAccountant {
     address: SocketAddr,
-    pace: f64,
+    rate: f64,
     share: f64,
     silence: Duration,
 }
 
-/// What is counted of one organisation.
+/// Account of one organisation.
 #[derive(Debug)]
 struct Account {
     born: u64,
     opened_at: Time,
-    /// When it was asked last, if ever: one that is only told stands by for another of its hall.
+    /// The time of the last request, if any: an account that only receives reports is the standby of
+    /// another accountant of its hall.
     asked_at: Option<Time>,
-    used_at: Time,
+    last_used_at: Time,
     bucket: TokenBucket,
     admitted: f64,
-    pace: DecayingRate,
-    others: HashMap<SocketAddr, Other>,
-    /// What each daemon has given back to this account, with the daemon's incarnation.
-    returned: HashMap<SocketAddr, (u64, f64)>,
-    /// What is held back for each accountant that has fallen silent.
-    held_back: BTreeMap<SocketAddr, f64>,
-    /// Refused callers are told to come back one after the other; the last at this time.
-    promised_until: Time,
+    rate: DecayingRate,
+    others: HashMap<SocketAddr, PeerAccountant>,
+    /// Units that each daemon has refunded to this account, with the daemon's incarnation.
+    refunds: HashMap<SocketAddr, (u64, f64)>,
+    /// Units reserved for each silent accountant.
+    reserved: BTreeMap<SocketAddr, f64>,
+    /// Refused callers get staggered retry times; this is the last one.
+    last_retry_at: Time,
 }
 
 impl Account {
@@ -91,81 +94,90 @@
             born,
             opened_at: now,
             asked_at: None,
-            used_at: now,
+            last_used_at: now,
             bucket: TokenBucket::new(now, quota),
             admitted: 0.0,
-            pace: DecayingRate::default(),
+            rate: DecayingRate::default(),
             others: HashMap::new(),
-            returned: HashMap::new(),
-            held_back: BTreeMap::new(),
-            promised_until: now,
+            refunds: HashMap::new(),
+            reserved: BTreeMap::new(),
+            last_retry_at: now,
         }
     }
 
-    /// The accountants that are silent, and that may go on letting requests in.
-    fn silent(&self, now: Time, mine: &str) -> Vec<SilentOther> {
-        let is_heard = |other: &Other| now.since(other.heard_at) < SILENT_AFTER;
-        let hall_is_heard = |hall: &str| {
-            hall == mine
-                || self.others.values().any(|other| is_heard(other) && &*other.hall == hall)
+    /// The silent accountants that may still admit requests.
+    fn silent(&self, now: Time, own_hall: &str) -> Vec<SilentAccountant> {
+        let is_active = |other: &PeerAccountant| now.since(other.received_at) < SILENCE_TIMEOUT;
+        let hall_is_active = |hall: &str| {
+            hall == own_hall
+                || self.others.values().any(|other| is_active(other) && &*other.hall == hall)
         };
-        let silent = self.others.iter().filter(|(_, other)| !is_heard(other));
+        let silent = self.others.iter().filter(|(_, other)| !is_active(other));
         let silent = silent.map(|(address, other)| {
-            let (pace, share, silence) = (other.pace, other.share, now.since(other.heard_at));
-            let held = if hall_is_heard(&other.hall) { STEPPED_IN } else { HELD_BACK };
-            (SilentOther { address: *address, pace, share, silence }, held)
+            let (rate, share, silence) = (other.rate, other.share, now.since(other.received_at));
+            let reserve_time = if hall_is_active(&other.hall) {
+                ACCOUNTANT_RESERVE_TIME
+            } else {
+                HALL_RESERVE_TIME
+            };
+            (SilentAccountant { address: *address, rate, share, silence }, reserve_time)
         });
-        silent.filter(|(other, held)| other.silence < *held).map(|(other, _)| other).collect()
+        silent
+            .filter(|(other, reserve_time)| other.silence < *reserve_time)
+            .map(|(other, _)| other)
+            .collect()
     }
 
-    /// Units a second of all accountants that are heard, and of those that have fallen silent.
-    fn paces(&self, now: Time, mine: &str) -> (f64, f64) {
-        let heard = self.others.values().filter(|other| now.since(other.heard_at) < SILENT_AFTER);
-        let heard = self.pace.per_second(now) + heard.map(|other| other.pace).sum::<f64>();
-        (heard, self.silent(now, mine).iter().map(|other| other.pace).sum())
+    /// Units per second of all active accountants, and of the silent ones.
+    fn rates(&self, now: Time, own_hall: &str) -> (f64, f64) {
+        let active =
+            self.others.values().filter(|other| now.since(other.received_at) < SILENCE_TIMEOUT);
+        let active = self.rate.per_second(now) + active.map(|other| other.rate).sum::<f64>();
+        (active, self.silent(now, own_hall).iter().map(|other| other.rate).sum())
     }
 
-    fn refill(&mut self, now: Time, quota: &Quota, slack: f64, mine: &str) {
-        let silent = self.hold_back(now, quota, slack, mine);
+    fn refill(&mut self, now: Time, quota: &Quota, slack: f64, own_hall: &str) {
+        let silent = self.reserve_for_silent(now, quota, slack, own_hall);
         self.bucket.refill(now, quota, slack, (1.0 - silent).max(0.0));
     }
 
-    /// Keeps for each silent accountant its part of what comes in, and of what both sides believed to be
-    /// left when it fell silent: it may use that. Without it, a hall that was cut off just as an
-    /// organisation became hot made 1.06 of what a window may hold, since both sides used the burst. What
-    /// was kept comes back when it is heard again, with word of what it has let in.
+    /// Reserves for each silent accountant its share of the refill, and of the units that both sides
+    /// considered available when it fell silent, since it may use them. Without this, a hall that was
+    /// isolated just as an organisation's traffic rose led to 1.06 times what a window may hold, since
+    /// both sides used the burst. The reserve is released when the accountant reports again, together
+    /// with the units that it has admitted.
     ///
-    /// Returns the part of the limit that is all silent accountants'.
-    fn hold_back(&mut self, now: Time, quota: &Quota, slack: f64, mine: &str) -> f64 {
+    /// Returns the share of the quota of all silent accountants.
+    fn reserve_for_silent(&mut self, now: Time, quota: &Quota, slack: f64, own_hall: &str) -> f64 {
         let since = now.since(self.bucket.refilled_at());
-        let silent = self.silent(now, mine);
-        self.held_back.retain(|address, _| silent.iter().any(|other| other.address == *address));
+        let silent = self.silent(now, own_hall);
+        self.reserved.retain(|address, _| silent.iter().any(|other| other.address == *address));
         for other in &silent {
-            if let Some(held) = self.held_back.get_mut(&other.address) {
-                *held += quota.refill(since) * other.share;
+            if let Some(units) = self.reserved.get_mut(&other.address) {
+                *units += quota.refill(since) * other.share;
                 continue;
             }
             let meanwhile = quota.refill(other.silence) + TokenBucket::depth(quota, slack);
             self.bucket.take(meanwhile * other.share);
-            self.held_back.insert(other.address, meanwhile * other.share);
+            self.reserved.insert(other.address, meanwhile * other.share);
         }
         silent.iter().map(|other| other.share).sum()
     }
 
     fn ask(&mut self, now: Time, quota: &Quota, units: f64) -> QuotaDecision {
         self.asked_at = Some(now);
-        self.used_at = now;
+        self.last_used_at = now;
         if self.bucket.level() > 0.0 {
             self.bucket.take(units);
             self.admitted += units;
-            self.pace.count(now, units);
+            self.rate.count(now, units);
             return QuotaDecision::Granted;
         }
         let span = |units: f64| Duration::from_secs_f64(units.max(0.0) / quota.per_second);
-        let paid = now + span(-self.bucket.level());
-        let latest = now + LONGEST_RETRY;
-        self.promised_until = (self.promised_until.max(paid) + span(units)).min(latest);
-        QuotaDecision::Refused(self.promised_until.since(now).max(Duration::from_millis(1)))
+        let debt_paid = now + span(-self.bucket.level());
+        let latest = now + MAX_RETRY_AFTER;
+        self.last_retry_at = (self.last_retry_at.max(debt_paid) + span(units)).min(latest);
+        QuotaDecision::Refused(self.last_retry_at.since(now).max(Duration::from_millis(1)))
     }
 
     fn refund(&mut self, units: f64) {
@@ -173,53 +185,53 @@
         self.admitted -= units;
     }
 
-    /// Takes in what another accountant tells.
+    /// Merges the count of another accountant.
     fn merge_count(
         &mut self,
         now: Time,
         from: SocketAddr,
         hall: &Rc<str>,
         count: &QuotaCount,
-        mine: &str,
+        own_hall: &str,
     ) {
         if self.others.get(&from).is_some_and(|other| other.born > count.born) {
             return;
         }
-        if let Some(held) = self.held_back.remove(&from) {
-            self.bucket.take(-held);
+        if let Some(units) = self.reserved.remove(&from) {
+            self.bucket.take(-units);
         }
-        let theirs = Duration::from_millis(count.open_ms.into());
-        let open = now.since(self.opened_at);
-        let seen = match self.others.get(&from) {
+        let peer_age = Duration::from_millis(count.open_ms.into());
+        let own_age = now.since(self.opened_at);
+        let already_counted = match self.others.get(&from) {
             Some(other) if other.born == count.born => other.admitted,
-            // It began to count after this account: all that it has admitted is news.
-            _ if theirs <= open => 0.0,
+            // The peer's account is younger than this one: none of its units has been counted here.
+            _ if peer_age <= own_age => 0.0,
             _ => {
-                if open < YOUNG {
+                if own_age < NEW_ACCOUNT_AGE {
                     self.bucket.set_level(count.level - self.admitted);
                 }
                 count.admitted
             }
         };
-        // Told late or twice, the same is taken out and put back.
-        self.bucket.take(count.admitted - seen);
-        let other = Other {
+        // A late report returns units that the next one takes again; a duplicate changes nothing.
+        self.bucket.take(count.admitted - already_counted);
+        let other = PeerAccountant {
             hall: hall.clone(),
             born: count.born,
             admitted: count.admitted,
-            pace: count.pace,
+            rate: count.pace,
             share: 0.0,
-            heard_at: now,
+            received_at: now,
         };
         self.others.insert(from, other);
-        let (heard, silent) = self.paces(now, mine);
+        let (active, silent) = self.rates(now, own_hall);
         if let Some(other) = self.others.get_mut(&from) {
-            other.share = other.pace / (heard + silent).max(f64::MIN_POSITIVE);
+            other.share = other.rate / (active + silent).max(f64::MIN_POSITIVE);
         }
     }
 }
 
-/// The accounts of one daemon.
+/// The accounts of a daemon in its role as quota accountant.
 #[derive(Debug)]
 pub struct QuotaLedger {
     hall: Rc<str>,
@@ -228,56 +240,59 @@
 }
 
 impl QuotaLedger {
-    /// A ledger without accounts, of a daemon in a hall, where users allow `slack` units beyond any
-    /// quota.
+    /// An empty ledger of a daemon in `hall`; `slack` is the number of units that users allow beyond
+    /// any quota.
     pub fn new(hall: &str, slack: f64) -> Self {
         Self { hall: hall.into(), slack, accounts: HashMap::new() }
     }
 
-    /// Decides on a request of `units`. `born` tells this account from another one of this daemon.
+    /// Decides on a request of `units`. `born` distinguishes this account from other accounts that the
+    /// daemon opens for the organisation.
     pub fn ask(
         &mut self,
         now: Time,
-        mark: OrganisationHash,
+        hash: OrganisationHash,
         quota: &Quota,
         units: f64,
         born: u64,
     ) -> QuotaDecision {
-        let account = self.accounts.entry(mark).or_insert_with(|| Account::new(now, born, quota));
+        let account = self.accounts.entry(hash).or_insert_with(|| Account::new(now, born, quota));
         account.refill(now, quota, self.slack, &self.hall);
         account.ask(now, quota, units)
     }
 
-    /// Takes back the units of a request that has not run after all.
-    pub fn refund(&mut self, mark: OrganisationHash, units: f64) {
-        if let Some(account) = self.accounts.get_mut(&mark) {
+    /// Refunds the units of a request that was not run.
+    pub fn refund(&mut self, hash: OrganisationHash, units: f64) {
+        if let Some(account) = self.accounts.get_mut(&hash) {
             account.refund(units);
         }
     }
 
-    /// Takes in what a daemon has given back in this life of it. The first it tells is where it
-    /// begins: what was given back to an earlier account is not this one's. Told late or twice, it
+    /// Merges the total that a daemon has refunded in its current incarnation. The first report is only
+    /// the baseline, since it may include refunds to an earlier account. A late or duplicate report
     /// changes nothing.
     pub fn merge_refunds(
         &mut self,
         from: SocketAddr,
         incarnation: u64,
-        mark: OrganisationHash,
-        all: f64,
+        hash: OrganisationHash,
+        total: f64,
     ) {
-        let Some(account) = self.accounts.get_mut(&mark) else { return };
-        let (life, before) = *account.returned.entry(from).or_insert((incarnation, all));
-        if life > incarnation || (life == incarnation && all <= before) {
+        let Some(account) = self.accounts.get_mut(&hash) else { return };
+        let (known_incarnation, before) =
+            *account.refunds.entry(from).or_insert((incarnation, total));
+        if known_incarnation > incarnation || (known_incarnation == incarnation && total <= before)
+        {
             return;
         }
-        account.returned.insert(from, (incarnation, all));
-        if life == incarnation {
-            account.refund(all - before);
+        account.refunds.insert(from, (incarnation, total));
+        if known_incarnation == incarnation {
+            account.refund(total - before);
         }
     }
 
-    /// Takes in what another accountant tells of an organisation. Who stands by for another one of its
-    /// hall learns in that way what the fleet sends.
+    /// Merges the count of another accountant for an organisation. This is also how the standby of a
+    /// hall's accountant learns the fleet's traffic.
     pub fn merge_count(
         &mut self,
         now: Time,
@@ -289,19 +304,19 @@
     ) {
         let account = self.accounts.entry(count.organisation);
         let account = account.or_insert_with(|| Account::new(now, born, quota));
-        account.used_at = now;
+        account.last_used_at = now;
         account.refill(now, quota, self.slack, &self.hall);
         account.merge_count(now, from, hall, count, &self.hall);
     }
 
-    /// What the whole fleet sends a second, as a share of what the quota allows.
-    pub fn usage(&self, now: Time, mark: OrganisationHash, quota: &Quota) -> f64 {
-        let Some(account) = self.accounts.get(&mark) else { return 0.0 };
-        let (heard, silent) = account.paces(now, &self.hall);
-        (heard + silent) / quota.per_second
+    /// The fleet's traffic as a share of the quota.
+    pub fn usage(&self, now: Time, hash: OrganisationHash, quota: &Quota) -> f64 {
+        let Some(account) = self.accounts.get(&hash) else { return 0.0 };
+        let (active, silent) = account.rates(now, &self.hall);
+        (active + silent) / quota.per_second
     }
 
-    /// What other accountants are to be told: of all organisations, or only of those near their
+    /// The counts to report to other accountants: of all organisations, or only of those near their
     /// limit.
     pub fn counts(
         &mut self,
@@ -309,34 +324,35 @@
         all: bool,
         quota_of: impl Fn(OrganisationHash) -> Option<Quota>,
     ) -> Vec<QuotaCount> {
-        self.accounts.retain(|_, account| now.since(account.used_at) < CLOSED_AFTER);
+        self.accounts.retain(|_, account| now.since(account.last_used_at) < ACCOUNT_IDLE_TIMEOUT);
         let mut counts = Vec::new();
-        let asked =
-            |account: &Account| account.asked_at.is_some_and(|at| now.since(at) < TELLS_FOR);
-        for (mark, account) in self.accounts.iter_mut().filter(|(_, account)| asked(account)) {
-            let Some(quota) = quota_of(*mark) else { continue };
+        let is_reporting =
+            |account: &Account| account.asked_at.is_some_and(|at| now.since(at) < REPORTING_TIME);
+        for (hash, account) in self.accounts.iter_mut().filter(|(_, account)| is_reporting(account))
+        {
+            let Some(quota) = quota_of(*hash) else { continue };
             account.refill(now, &quota, self.slack, &self.hall);
             let level = account.bucket.level();
             if !all && level > TokenBucket::depth(&quota, self.slack) / 2.0 {
                 continue;
             }
             counts.push(QuotaCount {
-                organisation: *mark,
+                organisation: *hash,
                 born: account.born,
                 open_ms: now.since(account.opened_at).as_millis().try_into().unwrap_or(u32::MAX),
                 admitted: account.admitted,
                 level,
-                pace: account.pace.per_second(now),
+                pace: account.rate.per_second(now),
             });
         }
         counts
     }
 
-    /// Other daemons that count for an organisation, as heard lately.
-    pub fn known_accountants(&self, now: Time, mark: OrganisationHash) -> Vec<SocketAddr> {
-        let Some(account) = self.accounts.get(&mark) else { return Vec::new() };
-        let heard = account.others.iter();
-        let heard = heard.filter(|(_, other)| now.since(other.heard_at) < HELD_BACK);
-        heard.map(|(address, _)| *address).collect()
+    /// The other accountants of an organisation that have reported recently.
+    pub fn known_accountants(&self, now: Time, hash: OrganisationHash) -> Vec<SocketAddr> {
+        let Some(account) = self.accounts.get(&hash) else { return Vec::new() };
+        let active = account.others.iter();
+        let active = active.filter(|(_, other)| now.since(other.received_at) < HALL_RESERVE_TIME);
+        active.map(|(address, _)| *address).collect()
     }
 }
--- a/crates/portrack/src/gateway/admission/organisations.rs
+++ b/crates/portrack/src/gateway/admission/organisations.rs
@@ -1,4 +1,4 @@
-//! The organisations of a configuration, by their keys.
+//! The organisations of a configuration, with their keys and quotas.
 
 use super::credential::KeyDigest;
 use crate::gateway::fleet::regions::AllowedRegions;
@@ -7,64 +7,64 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The short name of an organisation in messages between daemons.
+/// Hash of an organisation's name, which identifies it in messages between daemons.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct OrganisationHash(pub u64);
 
 impl OrganisationHash {
-    /// The mark of a name.
+    /// Hashes a name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
 }
 
-/// One organisation.
+/// An organisation whose requests are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Organisation {
-    /// Its name, which servers are told.
+    /// The name, which is forwarded to servers.
     pub name: Rc<str>,
-    /// Rank of its requests, 0 highest; the route's if left out.
+    /// Priority of its requests, 0 is highest; the route's priority if `None`.
     pub priority: Option<u8>,
-    /// How much it may send; any amount if left out.
+    /// The quota; unlimited if `None`.
     pub quota: Option<Quota>,
-    /// The only regions in which its requests may be served; any if left out.
+    /// The regions in which its requests may be served; any region if `None`.
     pub allowed_regions: Option<AllowedRegions>,
 }
 
 impl Organisation {
-    /// Its short name.
+    /// The hash of the name.
     pub fn name_hash(&self) -> OrganisationHash {
         OrganisationHash::of(&self.name)
     }
 }
 
-/// What a quota counts.
+/// The unit in which a quota is counted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaUnit {
     /// Requests.
     Requests,
-    /// Tokens of the prompt and the most to generate.
+    /// Tokens of the prompt plus the maximum number of generated ones.
     Tokens {
-        /// What a request counts that tells no tokens.
+        /// Units of a request that states no token count.
         plain: f64,
     },
 }
 
-/// How much an organisation may send, over all daemons together.
+/// The rate limit of an organisation across all daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// What it counts.
+    /// The unit.
     pub unit: QuotaUnit,
-    /// Units a second.
+    /// Units per second.
     pub per_second: f64,
-    /// Units on top, at once.
+    /// Units that may be used at once on top of the rate.
     pub burst: f64,
 }
 
 impl Quota {
-    /// What a request takes of it.
+    /// The units of a request.
     pub fn units(&self, tokens: Option<u64>) -> f64 {
         match (self.unit, tokens) {
             (QuotaUnit::Requests, _) => 1.0,
@@ -73,13 +73,13 @@
         }
     }
 
-    /// What it allows in a span.
+    /// The units that become available in a time span.
     pub fn refill(&self, span: Duration) -> f64 {
         self.per_second * span.as_secs_f64()
     }
 }
 
-/// All organisations of a configuration.
+/// The organisations of a configuration, indexed by key and by hash.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Organisations {
     by_key: HashMap<KeyDigest, Rc<Organisation>>,
@@ -94,17 +94,17 @@
         self.by_key.extend(keys.into_iter().map(|key| (key, organisation.clone())));
     }
 
-    /// Whose key this is.
+    /// The organisation that a key belongs to.
     pub fn by_key(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
         self.by_key.get(key)
     }
 
-    /// An organisation by its short name.
-    pub fn by_hash(&self, mark: OrganisationHash) -> Option<&Rc<Organisation>> {
-        self.by_hash.get(&mark)
+    /// The organisation with this name hash.
+    pub fn by_hash(&self, hash: OrganisationHash) -> Option<&Rc<Organisation>> {
+        self.by_hash.get(&hash)
     }
 
-    /// How many there are.
+    /// The number of organisations.
     pub fn count(&self) -> usize {
         self.by_hash.len()
     }
@@ -114,18 +114,18 @@
     }
 }
 
-/// Keys remembered as taken away; older ones are forgotten all at once beyond that. They only make
-/// a refusal tell more.
-const REVOKED_KEPT: usize = 16 * 1024;
+/// Maximum number of revoked keys to remember; beyond it, all of them are dropped at once. They only
+/// make the reason of a refusal more precise.
+const MAX_REVOKED_KEYS: usize = 16 * 1024;
 
-/// Keys that configurations have taken away in this daemon's life.
+/// Keys that configurations have revoked since this daemon started.
 #[derive(Debug, Clone, Default)]
 pub struct RevokedKeys(HashSet<KeyDigest>);
 
 impl RevokedKeys {
-    /// Takes note of what a new configuration lacks, and of what it brings back.
+    /// Adds the keys that a new configuration lacks, and removes those that it has again.
     pub fn update(&mut self, before: Option<&Organisations>, after: Option<&Organisations>) {
-        if self.0.len() > REVOKED_KEPT {
+        if self.0.len() > MAX_REVOKED_KEYS {
             self.0.clear();
         }
         let is_gone = |key: &KeyDigest| after.is_none_or(|after| !after.has(key));
@@ -134,8 +134,8 @@
         self.0.extend(keys.copied().filter(is_gone));
     }
 
-    /// True if a key was taken away.
-    pub fn holds(&self, key: &KeyDigest) -> bool {
+    /// Whether a key was revoked.
+    pub fn contains(&self, key: &KeyDigest) -> bool {
         self.0.contains(key)
     }
 }
--- a/crates/portrack/src/gateway/admission/quotas.rs
+++ b/crates/portrack/src/gateway/admission/quotas.rs
@@ -1,6 +1,6 @@
-//! Asks accountants on behalf of requests, and answers daemons that ask this one.
+//! Quota enforcement: asks accountants on behalf of requests, and acts as an accountant for others.
 
-use super::blind::FallbackShare;
+use super::fallback::FallbackShare;
 use super::ledger::{QuotaDecision, QuotaLedger};
 use super::organisations::{Organisation, OrganisationHash, Quota};
 use crate::gateway::fleet::daemons::{DaemonInfo, Daemons, UnresponsiveDaemons};
@@ -18,98 +18,98 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The longest wait for an accountant, which is of the same data hall. The way there and back takes half a
-/// millisecond; a processor that has used up its share of a tenth of a second pauses for the rest of it,
-/// at either end.
+/// Timeout for the answer of an accountant, which is in the same data hall. The round trip takes half a
+/// millisecond, but a process that has used up its CPU quota of a 100 ms period is throttled for the
+/// rest of it, at either end.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Accountants that one request asks.
-const TRIES: usize = 2;
-/// One that did not answer is not asked for so long: one lost datagram in twenty must not leave a node to
-/// itself for long.
-const SHUNNED_FOR: Duration = Duration::from_millis(500);
-/// When to come back if no accountant answers and this daemon's own part is used up.
-const BLIND_RETRY: Duration = Duration::from_millis(700);
-/// Between tellings of what is counted, for organisations near their limit.
+/// Maximum number of accountants that are asked for one request.
+const MAX_ATTEMPTS: usize = 2;
+/// How long an accountant that did not answer is avoided: with one datagram in twenty lost, a node must
+/// not be without an accountant for long.
+const UNRESPONSIVE_FOR: Duration = Duration::from_millis(500);
+/// Retry delay if no accountant answers and this daemon's own share is used up.
+const FALLBACK_RETRY: Duration = Duration::from_millis(700);
+/// Interval of the reports to other accountants, for organisations near their limit.
 pub(in crate::gateway) const COUNTS_INTERVAL: Duration = Duration::from_millis(100);
-/// The others are told of in every so many of these.
-const ALL_TOLD_EVERY: u64 = 3;
-/// Daemons of a hall that are told what others count: the one that is asked and the one that is
-/// asked if it does not answer.
-const OF_EACH_HALL: usize = 2;
-/// Counts in one datagram.
-const COUNTS_CHUNK: usize = 24;
+/// Every how many reports all organisations are included.
+const FULL_REPORT_EVERY: u64 = 3;
+/// Daemons of a hall that receive the counts of others: the accountant and its standby, which is asked
+/// if the accountant does not answer.
+const ACCOUNTANTS_PER_HALL: usize = 2;
+/// Maximum number of counts in one datagram.
+const COUNTS_PER_DATAGRAM: usize = 24;
 
-/// Asks for a request.
+/// Request to an accountant for the units of one request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Tells the answer's question.
+    /// Identifies this request in the answer.
     pub ask: u32,
-    /// Whose request it is.
+    /// The organisation that the request belongs to.
     pub organisation: OrganisationHash,
-    /// What the request takes.
+    /// The units that the request needs.
     pub units: f64,
 }
 
-/// The answer of an accountant.
+/// Answer of an accountant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaAnswer {
-    /// The question.
+    /// Identifies the request that is answered.
     pub ask: u32,
-    /// When there may be room, in milliseconds; the request is let in if left out.
+    /// Retry delay in milliseconds; the request is granted if `None`.
     pub refused_ms: Option<u32>,
-    /// What the fleet sends, in percent of the limit.
+    /// The fleet's traffic in percent of the quota.
     pub used_percent: u16,
 }
 
-/// What one accountant has counted of an organisation.
+/// Count of one accountant for an organisation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaCount {
     /// The organisation.
     pub organisation: OrganisationHash,
-    /// Differs with every account that the daemon opens for it.
+    /// Distinguishes the accounts that the daemon opens for it.
     pub born: u64,
-    /// For how long the account has been open, in milliseconds.
+    /// Age of the account in milliseconds.
     pub open_ms: u32,
-    /// Units let in since.
+    /// Units admitted since the account was opened.
     pub admitted: f64,
-    /// Units left, as this accountant knows it.
+    /// Units available, as known to this accountant.
     pub level: f64,
-    /// Units let in a second lately.
+    /// Units admitted per second recently.
     pub pace: f64,
 }
 
-/// What an accountant tells the others.
+/// Report of an accountant to the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaCounts {
-    /// Its data hall.
+    /// The accountant's data hall.
     pub hall: String,
-    /// Its counts.
+    /// The accountant's counts.
     pub counts: Vec<QuotaCount>,
 }
 
-/// What a daemon has given back to an accountant: units of requests that have not run after all.
+/// Refunds of a daemon to an accountant: units of requests that were not run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRefunds {
     /// The daemon's incarnation.
     pub incarnation: u64,
-    /// All units since it started, by organisation.
+    /// Total of refunded units since the daemon started, by organisation.
     pub units: Vec<(OrganisationHash, f64)>,
 }
 
-/// What daemons tell each other of quotas.
+/// Messages between daemons about quotas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// To an accountant.
+    /// Request to an accountant.
     Ask(QuotaRequest),
-    /// To the daemon that asked.
+    /// Answer to the daemon that asked.
     Answer(QuotaAnswer),
-    /// To the other accountants.
+    /// Report to the other accountants.
     Counts(QuotaCounts),
-    /// To an accountant.
+    /// Refunds to an accountant.
     Returned(QuotaRefunds),
 }
 
-/// The quotas as one daemon sees them.
+/// Enforces the quotas of organisations on one daemon.
 pub struct Quotas {
     clock: Rc<dyn Clock>,
     view: Rc<RefCell<FleetView>>,
@@ -118,19 +118,19 @@
     daemons: Rc<RefCell<Daemons>>,
     incarnation: Incarnation,
     ledger: RefCell<QuotaLedger>,
-    waiting: RefCell<HashMap<u32, oneshot::Sender<QuotaAnswer>>>,
-    asked: Cell<u32>,
-    tellings: Cell<u64>,
-    shunned: UnresponsiveDaemons,
-    blind: RefCell<HashMap<OrganisationHash, FallbackShare>>,
-    /// Given back so far, by the accountant that had let it in.
-    returned: RefCell<HashMap<SocketAddr, HashMap<OrganisationHash, f64>>>,
-    to_return: RefCell<Vec<(SocketAddr, OrganisationHash)>>,
+    pending: RefCell<HashMap<u32, oneshot::Sender<QuotaAnswer>>>,
+    last_request_id: Cell<u32>,
+    reports_sent: Cell<u64>,
+    unresponsive: UnresponsiveDaemons,
+    fallback_shares: RefCell<HashMap<OrganisationHash, FallbackShare>>,
+    /// Total of refunds, by the accountant that had granted the units.
+    refunds: RefCell<HashMap<SocketAddr, HashMap<OrganisationHash, f64>>>,
+    unsent_refunds: RefCell<Vec<(SocketAddr, OrganisationHash)>>,
 }
 
 impl Quotas {
-    /// Quotas of which nothing is counted yet, where users allow `slack` units beyond any of them;
-    /// `daemons` is kept up to date by others.
+    /// Quotas without any counts; `slack` is the number of units that users allow beyond any quota, and
+    /// `daemons` is kept up to date by other components.
     pub fn new(
         clock: Rc<dyn Clock>,
         view: Rc<RefCell<FleetView>>,
@@ -149,112 +149,112 @@
             daemons,
             incarnation,
             ledger: RefCell::new(ledger),
-            waiting: RefCell::default(),
-            asked: Cell::new(0),
-            tellings: Cell::new(0),
-            shunned: UnresponsiveDaemons::default(),
-            blind: RefCell::default(),
-            returned: RefCell::default(),
-            to_return: RefCell::default(),
+            pending: RefCell::default(),
+            last_request_id: Cell::new(0),
+            reports_sent: Cell::new(0),
+            unresponsive: UnresponsiveDaemons::default(),
+            fallback_shares: RefCell::default(),
+            refunds: RefCell::default(),
+            unsent_refunds: RefCell::default(),
         }
     }
 
-    fn quota(&self, mark: OrganisationHash) -> Option<Quota> {
+    fn quota(&self, hash: OrganisationHash) -> Option<Quota> {
         let view = self.view.borrow();
-        view.config()?.organisations.as_ref()?.by_hash(mark)?.quota
+        view.config()?.organisations.as_ref()?.by_hash(hash)?.quota
     }
 
-    /// Lets a request in if its organisation's quota allows it.
+    /// Admits a request if its organisation's quota allows it.
     pub async fn admit(
         self: &Rc<Self>,
         organisation: &Organisation,
         tokens: Option<u64>,
     ) -> Result<Charge, Refused> {
         let Some(quota) = organisation.quota else { return Ok(Charge::free()) };
-        let mark = organisation.name_hash();
+        let hash = organisation.name_hash();
         let units = quota.units(tokens);
-        for _ in 0..TRIES {
-            let Some(accountant) = self.accountant(mark) else { break };
-            let Some(answer) = self.ask(accountant, mark, &quota, units).await else {
-                let until = self.clock.now() + SHUNNED_FOR;
-                self.shunned.avoid(accountant, until);
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(accountant) = self.accountant(hash) else { break };
+            let Some(answer) = self.ask(accountant, hash, &quota, units).await else {
+                let until = self.clock.now() + UNRESPONSIVE_FOR;
+                self.unresponsive.avoid(accountant, until);
                 continue;
             };
-            return self.answered(accountant, mark, units, &answer);
+            return self.on_answer(accountant, hash, units, &answer);
         }
         let (now, daemons) = (self.clock.now(), self.daemons.borrow().count());
-        let mut blind = self.blind.borrow_mut();
-        match blind.entry(mark).or_default().admit(now, &quota, units, daemons) {
+        let mut fallback_shares = self.fallback_shares.borrow_mut();
+        match fallback_shares.entry(hash).or_default().admit(now, &quota, units, daemons) {
             true => Ok(Charge::free()),
-            false => Err(Refused::new(RefusalReason::Quota, Some(BLIND_RETRY))),
+            false => Err(Refused::new(RefusalReason::Quota, Some(FALLBACK_RETRY))),
         }
     }
 
-    /// What the fleet sends of an organisation, in percent of its limit, as told last; -1 if never.
-    pub fn used_percent(&self, mark: OrganisationHash) -> i64 {
-        let used = self.blind.borrow().get(&mark).and_then(FallbackShare::fleet_usage);
+    /// The fleet's traffic of an organisation in percent of its quota, as last reported; -1 if unknown.
+    pub fn used_percent(&self, hash: OrganisationHash) -> i64 {
+        let used = self.fallback_shares.borrow().get(&hash).and_then(FallbackShare::fleet_usage);
         used.map_or(-1, |used| (used * 100.0).round() as i64)
     }
 
-    fn accountant(&self, mark: OrganisationHash) -> Option<SocketAddr> {
+    fn accountant(&self, hash: OrganisationHash) -> Option<SocketAddr> {
         let now = self.clock.now();
-        // Others are told nothing by the accountants of other halls. A node that was cut off from
-        // everybody came to itself in the end, and gave out the whole limit on its own.
-        self.daemons.borrow().first_of_hall(mark.0, &self.me.hall, OF_EACH_HALL, |daemon| {
-            !self.shunned.contains(now, daemon.address)
+        // Only the first daemons of the hall receive the counts of other halls' accountants. Without
+        // this bound, an isolated node ended up asking itself and granted the whole quota on its own.
+        self.daemons.borrow().first_of_hall(hash.0, &self.me.hall, ACCOUNTANTS_PER_HALL, |daemon| {
+            !self.unresponsive.contains(now, daemon.address)
         })
     }
 
     async fn ask(
         &self,
         accountant: SocketAddr,
-        mark: OrganisationHash,
+        hash: OrganisationHash,
         quota: &Quota,
         units: f64,
     ) -> Option<QuotaAnswer> {
-        let ask = self.asked.get().wrapping_add(1);
-        self.asked.set(ask);
-        let question = QuotaRequest { ask, organisation: mark, units };
+        let ask = self.last_request_id.get().wrapping_add(1);
+        self.last_request_id.set(ask);
+        let request = QuotaRequest { ask, organisation: hash, units };
         if accountant == self.me.address {
-            return Some(self.decide(&question, quota));
+            return Some(self.decide(&request, quota));
         }
-        let (answered, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ask, answered);
-        self.messenger.send(&PeerMessage::Quota(QuotaMessage::Ask(question)), accountant);
+        let (sender, answer) = oneshot::channel();
+        self.pending.borrow_mut().insert(ask, sender);
+        self.messenger.send(&PeerMessage::Quota(QuotaMessage::Ask(request)), accountant);
         let answer = actix_rt::time::timeout(ANSWER_TIMEOUT, answer).await;
-        self.waiting.borrow_mut().remove(&ask);
+        self.pending.borrow_mut().remove(&ask);
         answer.ok()?.ok()
     }
 
-    fn answered(
+    fn on_answer(
         self: &Rc<Self>,
         accountant: SocketAddr,
-        mark: OrganisationHash,
+        hash: OrganisationHash,
         units: f64,
         answer: &QuotaAnswer,
     ) -> Result<Charge, Refused> {
-        let mut blind = self.blind.borrow_mut();
-        let share = blind.entry(mark).or_default();
+        let mut fallback_shares = self.fallback_shares.borrow_mut();
+        let share = fallback_shares.entry(hash).or_default();
         share.update_usage(self.clock.now(), f64::from(answer.used_percent) / 100.0);
         if let Some(millis) = answer.refused_ms {
             let after = Duration::from_millis(millis.into());
             return Err(Refused::new(RefusalReason::Quota, Some(after)));
         }
         share.record_granted(self.clock.now(), units);
-        let taken = Taken { quotas: self.clone(), accountant, mark, units };
+        let taken = TakenUnits { quotas: self.clone(), accountant, hash, units };
         Ok(Charge { taken: Some(taken), may_have_run: false })
     }
 
-    /// This daemon's own decision as an accountant.
-    fn decide(&self, question: &QuotaRequest, quota: &Quota) -> QuotaAnswer {
+    /// Decides on a request as an accountant.
+    fn decide(&self, request: &QuotaRequest, quota: &Quota) -> QuotaAnswer {
         let now = self.clock.now();
-        let (mark, units) = (question.organisation, question.units);
+        let (hash, units) = (request.organisation, request.units);
         let mut ledger = self.ledger.borrow_mut();
-        let verdict = ledger.ask(now, mark, quota, units, self.incarnation.number() + now.0);
-        let used = ledger.usage(now, mark, quota) * 100.0;
+        let decision = ledger.ask(now, hash, quota, units, self.incarnation.number() + now.0);
+        let used = ledger.usage(now, hash, quota) * 100.0;
         QuotaAnswer {
-            ask: question.ask,
-            refused_ms: match verdict {
+            ask: request.ask,
+            refused_ms: match decision {
                 QuotaDecision::Granted => None,
                 QuotaDecision::Refused(after) => {
                     Some(after.as_millis().try_into().unwrap_or(u32::MAX))
@@ -264,127 +264,128 @@
         }
     }
 
-    /// Takes in a message of another daemon.
+    /// Handles a message of another daemon.
     pub fn on_message(&self, message: QuotaMessage, from: SocketAddr) {
         let now = self.clock.now();
         match message {
-            QuotaMessage::Ask(question) => {
-                // A configuration that does not know the organisation is left to answer for itself.
-                let Some(quota) = self.quota(question.organisation) else { return };
-                let answer = QuotaMessage::Answer(self.decide(&question, &quota));
+            QuotaMessage::Ask(request) => {
+                // Without the organisation in the configuration, there is no answer: the daemon that
+                // asks falls back to its own share.
+                let Some(quota) = self.quota(request.organisation) else { return };
+                let answer = QuotaMessage::Answer(self.decide(&request, &quota));
                 self.messenger.send(&PeerMessage::Quota(answer), from);
             }
             QuotaMessage::Answer(answer) => {
-                if let Some(waiting) = self.waiting.borrow_mut().remove(&answer.ask) {
-                    // The request may have been given up meanwhile.
-                    let _ = waiting.send(answer);
+                if let Some(sender) = self.pending.borrow_mut().remove(&answer.ask) {
+                    // The receiver is gone if the request has been abandoned in the meantime.
+                    let _ = sender.send(answer);
                 }
             }
-            QuotaMessage::Counts(told) => {
-                let hall: Rc<str> = told.hall.into();
-                for count in &told.counts {
+            QuotaMessage::Counts(report) => {
+                let hall: Rc<str> = report.hall.into();
+                for count in &report.counts {
                     let Some(quota) = self.quota(count.organisation) else { continue };
                     let born = self.incarnation.number() + now.0;
                     self.ledger.borrow_mut().merge_count(now, from, &hall, count, &quota, born);
                 }
             }
-            QuotaMessage::Returned(returned) => {
+            QuotaMessage::Returned(refunds) => {
                 let mut ledger = self.ledger.borrow_mut();
-                for (mark, all) in returned.units {
-                    ledger.merge_refunds(from, returned.incarnation, mark, all);
+                for (hash, total) in refunds.units {
+                    ledger.merge_refunds(from, refunds.incarnation, hash, total);
                 }
             }
         }
     }
 
-    /// Tells the other accountants what this one has counted, and accountants what was given back.
+    /// Sends the counts of this accountant to the others, and refunds to the accountants concerned.
     pub fn send_counts(&self) {
-        self.tell_returned();
+        self.send_refunds();
         let now = self.clock.now();
-        let telling = self.tellings.get();
-        self.tellings.set(telling + 1);
-        let all = telling.is_multiple_of(ALL_TOLD_EVERY);
-        let counts = self.ledger.borrow_mut().counts(now, all, |mark| self.quota(mark));
+        let round = self.reports_sent.get();
+        self.reports_sent.set(round + 1);
+        let all = round.is_multiple_of(FULL_REPORT_EVERY);
+        let counts = self.ledger.borrow_mut().counts(now, all, |hash| self.quota(hash));
         let mut by_target: HashMap<SocketAddr, Vec<QuotaCount>> = HashMap::new();
         for count in counts {
-            for target in self.listeners(now, count.organisation) {
+            for target in self.recipients(now, count.organisation) {
                 by_target.entry(target).or_default().push(count.clone());
             }
         }
         for (target, counts) in by_target {
-            for chunk in counts.chunks(COUNTS_CHUNK) {
+            for chunk in counts.chunks(COUNTS_PER_DATAGRAM) {
                 let hall = self.me.hall.to_string();
-                let told = QuotaMessage::Counts(QuotaCounts { hall, counts: chunk.to_vec() });
-                self.messenger.send(&PeerMessage::Quota(told), target);
+                let report = QuotaMessage::Counts(QuotaCounts { hall, counts: chunk.to_vec() });
+                self.messenger.send(&PeerMessage::Quota(report), target);
             }
         }
     }
 
-    fn listeners(&self, now: Time, mark: OrganisationHash) -> Vec<SocketAddr> {
-        let mut listeners = self.daemons.borrow().of_each_hall(mark.0, OF_EACH_HALL);
-        listeners.extend(self.ledger.borrow().known_accountants(now, mark));
-        listeners.sort();
-        listeners.dedup();
-        listeners.retain(|address| *address != self.me.address);
-        listeners
+    fn recipients(&self, now: Time, hash: OrganisationHash) -> Vec<SocketAddr> {
+        let mut recipients = self.daemons.borrow().of_each_hall(hash.0, ACCOUNTANTS_PER_HALL);
+        recipients.extend(self.ledger.borrow().known_accountants(now, hash));
+        recipients.sort();
+        recipients.dedup();
+        recipients.retain(|address| *address != self.me.address);
+        recipients
     }
 
-    fn tell_returned(&self) {
+    fn send_refunds(&self) {
         let mut by_accountant: HashMap<SocketAddr, Vec<(OrganisationHash, f64)>> = HashMap::new();
-        let returned = self.returned.borrow();
-        for (accountant, mark) in self.to_return.take() {
-            let all = returned.get(&accountant).and_then(|marks| marks.get(&mark)).copied();
-            let told = by_accountant.entry(accountant).or_default();
-            if !told.iter().any(|(other, _)| *other == mark) {
-                told.push((mark, all.unwrap_or_default()));
+        let refunds = self.refunds.borrow();
+        for (accountant, hash) in self.unsent_refunds.take() {
+            let total = refunds.get(&accountant).and_then(|hashes| hashes.get(&hash)).copied();
+            let totals = by_accountant.entry(accountant).or_default();
+            if !totals.iter().any(|(other, _)| *other == hash) {
+                totals.push((hash, total.unwrap_or_default()));
             }
         }
-        for (accountant, told) in by_accountant {
-            for chunk in told.chunks(COUNTS_CHUNK) {
+        for (accountant, totals) in by_accountant {
+            for chunk in totals.chunks(COUNTS_PER_DATAGRAM) {
                 let (incarnation, units) = (self.incarnation.number(), chunk.to_vec());
-                let returned = QuotaMessage::Returned(QuotaRefunds { incarnation, units });
-                self.messenger.send(&PeerMessage::Quota(returned), accountant);
+                let refunds = QuotaMessage::Returned(QuotaRefunds { incarnation, units });
+                self.messenger.send(&PeerMessage::Quota(refunds), accountant);
             }
         }
     }
 
-    fn refund(&self, accountant: SocketAddr, mark: OrganisationHash, units: f64) {
+    fn refund(&self, accountant: SocketAddr, hash: OrganisationHash, units: f64) {
         if accountant == self.me.address {
-            self.ledger.borrow_mut().refund(mark, units);
+            self.ledger.borrow_mut().refund(hash, units);
             return;
         }
-        let mut returned = self.returned.borrow_mut();
-        *returned.entry(accountant).or_default().entry(mark).or_default() += units;
-        self.to_return.borrow_mut().push((accountant, mark));
+        let mut refunds = self.refunds.borrow_mut();
+        *refunds.entry(accountant).or_default().entry(hash).or_default() += units;
+        self.unsent_refunds.borrow_mut().push((accountant, hash));
     }
 }
 
-/// What a request has taken of a quota; given back when dropped, unless the request may have run.
+/// Units that a request has taken from a quota; refunded on drop, unless the request may have run.
 pub struct Charge {
-    taken: Option<Taken>,
+    taken: Option<TakenUnits>,
     may_have_run: bool,
 }
 
-struct Taken {
+struct TakenUnits {
     quotas: Rc<Quotas>,
     accountant: SocketAddr,
-    mark: OrganisationHash,
+    hash: OrganisationHash,
     units: f64,
 }
 
 impl Charge {
-    /// Of an organisation without a quota, or let in without an accountant.
+    /// A charge of no units: the organisation has no quota, or no accountant was involved.
     pub fn free() -> Self {
         Self { taken: None, may_have_run: false }
     }
 
-    /// The request is sent to a server.
-    pub fn may_run(&mut self) {
+    /// Records that the request is being sent to a server.
+    pub fn mark_sent(&mut self) {
         self.may_have_run = true;
     }
 
-    /// No server has run the request.
-    pub fn has_not_run(&mut self) {
+    /// Records that no server has run the request.
+    pub fn mark_not_run(&mut self) {
         self.may_have_run = false;
     }
 }
@@ -392,8 +393,8 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         let taken = self.taken.take().filter(|_| !self.may_have_run);
-        if let Some(Taken { quotas, accountant, mark, units }) = taken {
-            quotas.refund(accountant, mark, units);
+        if let Some(TakenUnits { quotas, accountant, hash, units }) = taken {
+            quotas.refund(accountant, hash, units);
         }
     }
 }
--- a/crates/portrack/src/gateway/dispatch/dispatcher.rs
+++ b/crates/portrack/src/gateway/dispatch/dispatcher.rs
@@ -1,8 +1,8 @@
-//! Gives out the slots of a service's servers, one request after the other.
+//! Assigns the slots of a service's servers to requests.
 //!
-//! Answers for services with few slots and many daemons: with 72 daemons before 18 slots, each of which
-//! knew the load of the servers up to 1.8 s late, all sent to the server they took for the idlest, up to
-//! 24 requests queued there for 240 ms, and servers turned away 45% of what they got.
+//! A dispatcher serves services with few slots and many daemons. Without it, 72 daemons in front of 18
+//! slots, each with load information up to 1.8 s old, all sent to the server that they considered
+//! least loaded: up to 24 requests queued there for 240 ms, and servers rejected 45% of their requests.
 
 use crate::gateway::admission::OrganisationHash;
 use crate::gateway::arrivals::{CallId, RetryScheduler, choose_evicted};
@@ -14,83 +14,85 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests that a server gets beyond its slots, as a share of these, so that it has the next one at
-/// hand when one ends: a node with an eighth of a core tells of an end, and sends the next request, some
-/// ten milliseconds late. Trials on two days of 72 nodes before 18 slots, worth with 0, 0.2, 0.5, 1.0 and
-/// 1.6: 0.412, 0.469, 0.489, 0.494, 0.497 and 0.550, 0.594, 0.596, 0.607, 0.620.
-const AHEAD_SHARE: f64 = 1.6;
-/// A slot whose request's end is never told is free again after this.
-const FORGOTTEN_AFTER: Duration = Duration::from_millis(3_000);
-/// How long a request runs, before any has.
-const FIRST_RUN: Duration = Duration::from_millis(50);
-/// Share of one run in the average.
+/// Requests that a server gets beyond its slots, as a share of the slots, so that the next request is
+/// already there when one ends: a node with an eighth of a core reports the end, and sends the next
+/// request, some ten milliseconds late. Scores in trials on two days with 72 nodes and 18 slots, for
+/// shares of 0, 0.2, 0.5, 1.0 and 1.6: 0.412, 0.469, 0.489, 0.494, 0.497 and 0.550, 0.594, 0.596,
+/// 0.607, 0.620.
+const QUEUE_AHEAD_SHARE: f64 = 1.6;
+/// Time after which a slot is freed if the end of its request is not reported.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Initial estimate of a request's run time.
+const INITIAL_RUN_TIME: Duration = Duration::from_millis(50);
+/// Weight of one run in the average run time.
 const RUN_WEIGHT: f64 = 0.05;
-/// Share of one end in a server's failure rate, and the time in which that fades to half.
-const END_WEIGHT: f64 = 0.2;
+/// Weight of one outcome in a server's failure rate, and the half-life of the rate.
+const OUTCOME_WEIGHT: f64 = 0.2;
 const FAILURE_HALF_LIFE: Duration = Duration::from_millis(2_500);
-/// A server that was found unreachable gets nothing for so long.
+/// How long an unreachable server gets no requests.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(700);
-/// A request takes up to this many times the average from its turn to its end, for telling whether it
-/// can be in time.
-const LONG_RUN: f64 = 2.3;
-/// A request may wait for so many times the average run at least, also where it cannot be in time: where
-/// objectives are as short as a run, whatever had to wait was refused, and routes with such objectives
-/// were served a sixth as often as others on a busy day.
-const LEAST_WAIT_RUNS: f64 = 2.0;
+/// Multiple of the average run time that a granted request may take; used to predict whether a waiting
+/// request can be answered in time.
+const RUN_TIME_MARGIN: f64 = 2.3;
+/// Minimum time that a request may wait, in average run times, even if it cannot be answered in time.
+/// Without it, every request that had to wait was refused if its objective was as short as a run, and
+/// routes with such objectives were served a sixth as often as others on a busy day.
+const MIN_WAIT_RUNS: f64 = 2.0;
 
-/// Where all servers name limits, at least so many slots are reckoned with: none is no divisor.
-const LEAST_LIMITED_SLOTS: f64 = 0.001;
+/// Minimum number of slots if all servers announce limits; prevents a division by zero.
+const MIN_LIMITED_SLOTS: f64 = 0.001;
 
-/// What a request needs.
+/// Request for a slot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// The asking daemon's count.
+    /// The call number of the asking daemon.
     pub ask: u32,
-    /// The service, by its mark.
+    /// The service's hash.
     pub service: u32,
-    /// Whose request it is, if callers show keys.
+    /// The organisation that the request belongs to, if callers use keys.
     pub organisation: Option<OrganisationHash>,
-    /// Within this it should be answered, in milliseconds.
+    /// Time within which it should be answered, in milliseconds.
     pub left_ms: u32,
-    /// Servers that have failed it, by their marks.
+    /// Hashes of the servers that must not get it, such as those that have failed it.
     pub tried: Vec<u32>,
 }
 
-/// What becomes of it.
+/// Answer to a slot request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotAnswer {
-    /// It may be sent to this server, by its mark.
+    /// The request may be sent to the server with this hash.
     Granted(u32),
-    /// It has to wait for its turn; another answer follows.
+    /// The request has to wait; another answer follows.
     Waits,
-    /// It cannot be in time; when to come back, in milliseconds.
+    /// The request cannot be answered in time; contains the retry delay in milliseconds.
     Refused(u32),
 }
 
-/// An answer with the request it is for.
+/// An answer with the call that it belongs to.
 pub type SlotReply = (CallId, SlotAnswer);
 
 /// How a request at a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotEnd {
-    /// With an answer.
+    /// The server answered.
     Answered,
-    /// With a failure, or without an answer.
+    /// The server failed the request or did not answer.
     Failed,
     /// The server could not be reached.
     Unreachable,
-    /// It was not sent, since the server had no room within its limit. Only told to dispatchers that know this end.
+    /// The request was not sent, since it would have exceeded the server's limit. Sent only to dispatchers
+    /// that know this variant.
     Unsent,
 }
 
-/// A server that takes work.
+/// A server that accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerSlots {
-    /// Its mark.
+    /// The server's hash.
     pub server: u32,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: usize,
-    /// The limit that it names, if it does.
+    /// The rate limit that it announces, if any.
     pub limit: Option<LimitRule>,
 }
 
@@ -101,32 +103,33 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Taken {
+struct TakenSlot {
     server: u32,
     since: Time,
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct WaitingRequest {
     id: CallId,
     ask: SlotRequest,
-    /// After that it cannot be in time.
+    /// Time after which it cannot be answered in time.
     until: Time,
 }
 
-/// The slots of one service.
+/// Assigns the slots of one service.
 #[derive(Debug)]
 pub struct Dispatcher {
     servers: Vec<ServerSlots>,
     health: HashMap<u32, Health>,
-    /// What servers that name limits may get. It steers; each send there is granted besides, with those of others.
+    /// Buckets of the servers that announce limits. They only guide the selection; each send to such a
+    /// server needs a grant in addition.
     limits: HashMap<u32, RateBucket>,
-    taken: HashMap<CallId, Taken>,
-    waiting: Vec<Waiting>,
-    /// How long requests run, on average, in milliseconds.
+    taken: HashMap<CallId, TakenSlot>,
+    waiting: Vec<WaitingRequest>,
+    /// Average run time of requests in milliseconds.
     run_ms: f64,
-    /// When refused callers come back.
-    promises: RetryScheduler,
+    /// Staggers the retry times of refused callers.
+    retry_scheduler: RetryScheduler,
 }
 
 impl Default for Dispatcher {
@@ -137,14 +140,14 @@
             limits: HashMap::new(),
             taken: HashMap::new(),
             waiting: Vec::new(),
-            run_ms: FIRST_RUN.as_millis() as f64,
-            promises: RetryScheduler::default(),
+            run_ms: INITIAL_RUN_TIME.as_millis() as f64,
+            retry_scheduler: RetryScheduler::default(),
         }
     }
 }
 
 impl Dispatcher {
-    /// Takes in which servers take work now.
+    /// Sets the servers that currently accept requests.
     pub fn set_servers(&mut self, now: Time, servers: Vec<ServerSlots>) {
         self.health.retain(|mark, _| servers.iter().any(|server| server.server == *mark));
         self.limits.retain(|mark, _| servers.iter().any(|server| server.server == *mark));
@@ -164,64 +167,65 @@
         self.health.get(&server).is_some_and(|health| now < health.unreachable_until)
     }
 
-    fn taken_at(&self, server: u32) -> usize {
+    fn taken_count(&self, server: u32) -> usize {
         self.taken.values().filter(|taken| taken.server == server).count()
     }
 
-    /// The requests that a server may have: fewer where it fails some, one at least.
-    fn room(&self, now: Time, server: &ServerSlots) -> usize {
-        let sound = 1.0 - self.failure_rate(now, server.server);
-        let all = server.slots as f64 * (1.0 + AHEAD_SHARE);
-        ((all * sound).floor() as usize).max(1)
+    /// Number of requests that a server may have at once: fewer if it fails some, but at least one.
+    fn capacity(&self, now: Time, server: &ServerSlots) -> usize {
+        let healthy_share = 1.0 - self.failure_rate(now, server.server);
+        let total = server.slots as f64 * (1.0 + QUEUE_AHEAD_SHARE);
+        ((total * healthy_share).floor() as usize).max(1)
     }
 
-    /// The server with most room that has not failed the request yet.
+    /// The least loaded server with free capacity, except those in `tried`.
     fn free_server(&self, now: Time, tried: &[u32]) -> Option<u32> {
-        let open = self.servers.iter().filter(|server| {
+        let available = self.servers.iter().filter(|server| {
             !tried.contains(&server.server)
                 && !self.is_unreachable(now, server.server)
                 && self.limits.get(&server.server).is_none_or(|bucket| bucket.has_room(now))
         });
-        let filled = open.filter_map(|server| {
-            let (taken, room) = (self.taken_at(server.server), self.room(now, server));
-            (taken < room).then(|| (taken as f64 / room as f64, server.server))
+        let with_capacity = available.filter_map(|server| {
+            let (taken, capacity) = (self.taken_count(server.server), self.capacity(now, server));
+            (taken < capacity).then(|| (taken as f64 / capacity as f64, server.server))
         });
-        filled.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, server)| server)
+        with_capacity.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, server)| server)
     }
 
-    /// The slots that can be used.
+    /// Effective number of usable slots.
     fn slots(&self, now: Time) -> f64 {
-        let open = self.servers.iter().filter(|server| !self.is_unreachable(now, server.server));
-        let usable = open.map(|server| {
-            let sound = server.slots as f64 * (1.0 - self.failure_rate(now, server.server));
-            sound.min(self.slots_within_limit(server))
+        let available =
+            self.servers.iter().filter(|server| !self.is_unreachable(now, server.server));
+        let usable = available.map(|server| {
+            let healthy = server.slots as f64 * (1.0 - self.failure_rate(now, server.server));
+            healthy.min(self.slots_within_limit(server))
         });
         let all_limited = self.servers.iter().all(|server| server.limit.is_some());
-        let least = if all_limited { LEAST_LIMITED_SLOTS } else { 1.0 };
-        usable.sum::<f64>().max(least)
+        let min_slots = if all_limited { MIN_LIMITED_SLOTS } else { 1.0 };
+        usable.sum::<f64>().max(min_slots)
     }
 
-    /// The slots that are busy on the average if a server gets what it takes.
+    /// Average number of busy slots if the server gets requests at its rate limit.
     fn slots_within_limit(&self, server: &ServerSlots) -> f64 {
         let run_s = self.run_ms / 1_000.0;
         server.limit.map_or(f64::INFINITY, |limit| limit.rate() * run_s)
     }
 
-    /// A request goes to a server.
-    fn give(&mut self, now: Time, id: CallId, server: u32) -> SlotReply {
-        self.taken.insert(id, Taken { server, since: now });
+    /// Grants a slot at a server to a request.
+    fn grant(&mut self, now: Time, id: CallId, server: u32) -> SlotReply {
+        self.taken.insert(id, TakenSlot { server, since: now });
         if let Some(bucket) = self.limits.get_mut(&server).filter(|bucket| bucket.is_set()) {
             bucket.take(now);
         }
         (id, SlotAnswer::Granted(server))
     }
 
-    /// How long the last of `waiting` requests waits.
-    fn wait_of(&self, now: Time, waiting: usize) -> Duration {
+    /// Expected wait of the last of `waiting` requests.
+    fn expected_wait(&self, now: Time, waiting: usize) -> Duration {
         Duration::from_secs_f64(waiting as f64 * self.run_ms / 1_000.0 / self.slots(now))
     }
 
-    /// Decides on a request, or on another one that has to make way for it.
+    /// Decides on a request, and on a waiting one that may be refused in its favour.
     pub fn ask(&mut self, now: Time, from: SocketAddr, ask: SlotRequest) -> Vec<SlotReply> {
         let id = CallId { from, call: ask.ask };
         if self.taken.contains_key(&id) || self.waiting.iter().any(|waiting| waiting.id == id) {
@@ -230,46 +234,47 @@
         if self.waiting.is_empty()
             && let Some(server) = self.free_server(now, &ask.tried)
         {
-            return vec![self.give(now, id, server)];
+            return vec![self.grant(now, id, server)];
         }
         let runs = |times: f64| Duration::from_secs_f64(self.run_ms * times / 1_000.0);
-        let left = Duration::from_millis(ask.left_ms.into()).saturating_sub(runs(LONG_RUN));
-        let left = left.max(runs(LEAST_WAIT_RUNS));
+        let left = Duration::from_millis(ask.left_ms.into()).saturating_sub(runs(RUN_TIME_MARGIN));
+        let left = left.max(runs(MIN_WAIT_RUNS));
         let until = now + left;
-        self.waiting.push(Waiting { id, ask, until });
-        if self.wait_of(now, self.waiting.len()) <= left {
+        self.waiting.push(WaitingRequest { id, ask, until });
+        if self.expected_wait(now, self.waiting.len()) <= left {
             return vec![(id, SlotAnswer::Waits)];
         }
-        let refused = self.one_too_many();
+        let refused = self.index_to_refuse();
         let refused = self.waiting.swap_remove(refused).id;
-        let mut orders = vec![(refused, self.refusal(now))];
+        let mut replies = vec![(refused, self.refusal(now))];
         if refused != id {
-            orders.push((id, SlotAnswer::Waits));
+            replies.push((id, SlotAnswer::Waits));
         }
-        orders
+        replies
     }
 
-    /// The place of the waiting request that has to go.
-    fn one_too_many(&self) -> usize {
+    /// Index of the waiting request to refuse.
+    fn index_to_refuse(&self) -> usize {
         let waiting = self.waiting.iter().map(|waiting| (waiting.ask.organisation, waiting.until));
         choose_evicted(&waiting.collect::<Vec<_>>())
     }
 
     fn refusal(&mut self, now: Time) -> SlotAnswer {
-        let (free, apart) = (self.wait_of(now, self.waiting.len() + 1), self.wait_of(now, 1));
-        SlotAnswer::Refused(self.promises.next(now, free, apart))
+        let (free, apart) =
+            (self.expected_wait(now, self.waiting.len() + 1), self.expected_wait(now, 1));
+        SlotAnswer::Refused(self.retry_scheduler.next(now, free, apart))
     }
 
-    /// A request at a server has ended; tells which others have their turn.
+    /// Records the end of a request at a server, and grants the slots that have become free.
     pub fn ended(&mut self, now: Time, id: CallId, end: SlotEnd) -> Vec<SlotReply> {
         self.waiting.retain(|waiting| waiting.id != id);
         if let Some(taken) = self.taken.remove(&id) {
-            self.note(now, taken, end);
+            self.record_outcome(now, taken, end);
         }
-        self.turns(now)
+        self.serve_waiting(now)
     }
 
-    fn note(&mut self, now: Time, taken: Taken, end: SlotEnd) {
+    fn record_outcome(&mut self, now: Time, taken: TakenSlot, end: SlotEnd) {
         if end == SlotEnd::Unsent {
             self.limits.entry(taken.server).or_default().refund();
             return;
@@ -277,7 +282,7 @@
         let health = self.health.entry(taken.server).or_default();
         let rate = health.failure_rate.get(now, FAILURE_HALF_LIFE);
         let failed = if end == SlotEnd::Answered { 0.0 } else { 1.0 };
-        health.failure_rate.set(now, rate + (failed - rate) * END_WEIGHT);
+        health.failure_rate.set(now, rate + (failed - rate) * OUTCOME_WEIGHT);
         match end {
             SlotEnd::Answered => {
                 let run = now.since(taken.since).as_millis() as f64;
@@ -288,28 +293,29 @@
         }
     }
 
-    /// Those whose turn it is, and those that cannot be in time any more.
-    fn turns(&mut self, now: Time) -> Vec<SlotReply> {
-        let mut orders = Vec::new();
+    /// Grants free slots to waiting requests, the most urgent ones first, and refuses those that can no
+    /// longer be answered in time.
+    fn serve_waiting(&mut self, now: Time) -> Vec<SlotReply> {
+        let mut replies = Vec::new();
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.sort_by_key(|waiting| waiting.until);
-        let (late, in_time): (Vec<_>, Vec<_>) =
+        let (expired, in_time): (Vec<_>, Vec<_>) =
             waiting.into_iter().partition(|waiting| waiting.until < now);
         for next in in_time {
             match self.free_server(now, &next.ask.tried) {
                 Some(server) => {
-                    orders.push(self.give(now, next.id, server));
+                    replies.push(self.grant(now, next.id, server));
                 }
                 None => self.waiting.push(next),
             }
         }
-        orders.extend(late.into_iter().map(|late| (late.id, self.refusal(now))));
-        orders
+        replies.extend(expired.into_iter().map(|expired| (expired.id, self.refusal(now))));
+        replies
     }
 
-    /// Lets time pass.
+    /// Frees slots whose end was not reported, and updates the waiting requests.
     pub fn tick(&mut self, now: Time) -> Vec<SlotReply> {
-        self.taken.retain(|_, taken| now.since(taken.since) < FORGOTTEN_AFTER);
-        if self.waiting.is_empty() { Vec::new() } else { self.turns(now) }
+        self.taken.retain(|_, taken| now.since(taken.since) < SLOT_TIMEOUT);
+        if self.waiting.is_empty() { Vec::new() } else { self.serve_waiting(now) }
     }
 }
--- a/crates/portrack/src/gateway/dispatch/mod.rs
+++ b/crates/portrack/src/gateway/dispatch/mod.rs
@@ -1,15 +1,16 @@
-//! Choosing the server of a request of a small service: one daemon of each region knows which slots of
-//! its servers are taken.
+//! Server selection for small services: in each region, one daemon, the dispatcher, tracks which slots
+//! of the region's servers are taken.
 //!
-//! In come requests for a slot, how the requests at the servers ended, and which servers there are; out
-//! go a server, a wait of bounded length, or a refusal with the time to come back. A server must never
-//! get more than its slots and a little more; a request that cannot be in time is refused at once.
-//! [`Dispatcher`] is a state machine without sockets; [`SlotService`] asks and answers by datagrams.
+//! Input are requests for a slot, the outcomes of requests at the servers, and the list of servers;
+//! output is a server, a wait of bounded length, or a refusal with a retry delay. A server must never
+//! get many more requests than it has slots, and a request that cannot be answered in time is refused
+//! at once. [`Dispatcher`] is a state machine without I/O; [`SlotService`] sends and receives the
+//! datagrams.
 
 mod dispatcher;
-mod slots;
-mod whom;
+mod routing;
+mod service;
 
 pub use dispatcher::{Dispatcher, ServerSlots, SlotAnswer, SlotEnd, SlotReply, SlotRequest};
-pub use slots::{SlotDeps, SlotGuard, SlotMessage, SlotRequirements, SlotService};
-pub use whom::{DispatcherRoute, dispatchers_for};
+pub use routing::{DispatcherRoute, dispatchers_for};
+pub use service::{SlotDeps, SlotGuard, SlotMessage, SlotRequirements, SlotService};
--- a/crates/portrack/src/gateway/requests/handler.rs
+++ b/crates/portrack/src/gateway/requests/handler.rs
@@ -260,7 +260,7 @@
         let most = self.connections_share(&job.service);
         job.sends += 1;
         job.progress.timings.record_sent(now);
-        job.charge.may_run();
+        job.charge.mark_sent();
         choice.sent(now);
         self.traffic.count_server_bytes("requests", &backend.hall, bytes.len());
         let id = &job.request.meta.id;
@@ -394,7 +394,7 @@
         let (now, id) = (self.clock.now(), &choice.backend.id);
         job.last_failure = format!("{why:?}");
         if !job.may_have_run() {
-            job.charge.has_not_run();
+            job.charge.mark_not_run();
         }
         match why {
             NotRunReason::NoConnection => {
