--- a/crates/portrack/src/gateway/connections/body.rs
+++ b/crates/portrack/src/gateway/connections/body.rs
@@ -1,30 +1,30 @@
-//! The body of an answer, part by part, whatever its framing.
+//! Incremental decoder of response bodies, for all framings.
 
 use super::response::{Framing, ResponseError};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest line that begins a chunk.
+/// Maximum length of a chunk-size line.
 const MAX_CHUNK_LINE: usize = 64;
 
-/// What a step of reading gives.
+/// Result of a decoding step.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodeStep {
-    /// Bytes of the body.
+    /// The next bytes of the body.
     Part(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
     /// More bytes are needed.
     More,
 }
 
-/// Splits a connection's bytes into the parts of one body.
+/// Decodes the body of one response from the bytes of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BodyDecoder {
-    state: State,
+    state: DecodeState,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum State {
+enum DecodeState {
     Length(u64),
     ChunkLine,
     Chunk(u64),
@@ -35,64 +35,69 @@
 }
 
 impl BodyDecoder {
-    /// A decoder of one body.
+    /// Creates a decoder for a body with the given framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
-            Framing::Length(0) => State::Done,
-            Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::ChunkLine,
-            Framing::UntilClose => State::UntilClose,
+            Framing::Length(0) => DecodeState::Done,
+            Framing::Length(length) => DecodeState::Length(length),
+            Framing::Chunked => DecodeState::ChunkLine,
+            Framing::UntilClose => DecodeState::UntilClose,
         };
         Self { state }
     }
 
-    /// True if the end of the connection ends this body as a whole one.
+    /// Whether the body is complete when the connection is closed.
     pub fn ends_with_connection(&self) -> bool {
-        self.state == State::UntilClose
+        self.state == DecodeState::UntilClose
     }
 
-    /// Takes the next part off the buffer.
+    /// Decodes the next bytes of the buffer.
     pub fn step(&mut self, buffer: &mut BytesMut) -> Result<DecodeStep, ResponseError> {
         loop {
             match self.state {
-                State::Done => return Ok(DecodeStep::End),
-                State::Length(left) => {
-                    let Some(part) = take(buffer, left) else { return Ok(DecodeStep::More) };
+                DecodeState::Done => return Ok(DecodeStep::End),
+                DecodeState::Length(left) => {
+                    let Some(part) = take_bytes(buffer, left) else { return Ok(DecodeStep::More) };
                     let left = left - part.len() as u64;
-                    self.state = if left == 0 { State::Done } else { State::Length(left) };
+                    self.state =
+                        if left == 0 { DecodeState::Done } else { DecodeState::Length(left) };
                     return Ok(DecodeStep::Part(part));
                 }
-                State::UntilClose => {
-                    let part = take(buffer, u64::MAX);
+                DecodeState::UntilClose => {
+                    let part = take_bytes(buffer, u64::MAX);
                     return Ok(part.map_or(DecodeStep::More, DecodeStep::Part));
                 }
-                State::ChunkLine => {
+                DecodeState::ChunkLine => {
                     let Some(size) = chunk_size(buffer)? else { return Ok(DecodeStep::More) };
-                    self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
+                    self.state =
+                        if size == 0 { DecodeState::Trailer } else { DecodeState::Chunk(size) };
                 }
-                State::Chunk(left) => {
-                    let Some(part) = take(buffer, left) else { return Ok(DecodeStep::More) };
+                DecodeState::Chunk(left) => {
+                    let Some(part) = take_bytes(buffer, left) else { return Ok(DecodeStep::More) };
                     let left = left - part.len() as u64;
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
+                    self.state =
+                        if left == 0 { DecodeState::ChunkEnd } else { DecodeState::Chunk(left) };
                     return Ok(DecodeStep::Part(part));
                 }
-                State::ChunkEnd => {
+                DecodeState::ChunkEnd => {
                     if buffer.len() < 2 {
                         return Ok(DecodeStep::More);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err(ResponseError { why: "a chunk without its end".into() });
+                        return Err(ResponseError {
+                            why: "chunk is not terminated by CRLF".into(),
+                        });
                     }
                     buffer.advance(2);
-                    self.state = State::ChunkLine;
+                    self.state = DecodeState::ChunkLine;
                 }
-                State::Trailer => {
+                DecodeState::Trailer => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
                         return Ok(DecodeStep::More);
                     };
                     buffer.advance(end + 2);
                     if end == 0 {
-                        self.state = State::Done;
+                        self.state = DecodeState::Done;
                     }
                 }
             }
@@ -100,22 +105,22 @@
     }
 }
 
-fn take(buffer: &mut BytesMut, most: u64) -> Option<Bytes> {
+fn take_bytes(buffer: &mut BytesMut, max_length: u64) -> Option<Bytes> {
     if buffer.is_empty() {
         return None;
     }
-    let length = usize::try_from(most).unwrap_or(usize::MAX).min(buffer.len());
+    let length = usize::try_from(max_length).unwrap_or(usize::MAX).min(buffer.len());
     Some(buffer.split_to(length).freeze())
 }
 
 fn chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, ResponseError> {
-    let bad = || ResponseError { why: "a bad chunk".into() };
-    match httparse::parse_chunk_size(buffer).map_err(|_| bad())? {
+    let invalid = || ResponseError { why: "invalid chunk size".into() };
+    match httparse::parse_chunk_size(buffer).map_err(|_| invalid())? {
         httparse::Status::Complete((length, size)) => {
             buffer.advance(length);
             Ok(Some(size))
         }
-        httparse::Status::Partial if buffer.len() > MAX_CHUNK_LINE => Err(bad()),
+        httparse::Status::Partial if buffer.len() > MAX_CHUNK_LINE => Err(invalid()),
         httparse::Status::Partial => Ok(None),
     }
 }
--- a/crates/portrack/src/gateway/connections/connection.rs
+++ b/crates/portrack/src/gateway/connections/connection.rs
@@ -12,36 +12,36 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The longest wait for a connection to come up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes read at once.
+/// Size of a read in bytes.
 const READ_SIZE: usize = 4 * 1024;
-/// Idle connections are not used again after this, if the server names no time.
-const IDLE_DEFAULT: Duration = Duration::from_millis(4_000);
-/// Taken off the time that a server names, for the way of the next request.
+/// Idle time after which a connection is not reused, if the server states no keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Subtracted from the server's keep-alive timeout, so that the next request arrives before it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Why an exchange failed.
+/// Reason why a request or its response failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ExchangeError {
-    /// No connection came about: nothing was sent.
+    /// The connection could not be opened: nothing was sent.
     #[snafu(display("no connection: {why}"))]
     NotConnected {
-        /// What the system said.
+        /// The error of the operating system.
         why: String,
-        /// The machine is there, and nothing listens.
+        /// The connection was refused: the host is up, but nothing listens.
         refused: bool,
     },
     /// The connection broke: the request may have run.
     #[snafu(display("connection lost: {why}"))]
     Lost {
-        /// What the system said.
+        /// The error of the operating system, or what happened.
         why: String,
     },
-    /// The server sent bytes that are no answer.
+    /// The server sent bytes that are not a valid response.
     #[snafu(display("{source}"))]
     Malformed {
-        /// What is wrong with them.
+        /// The parse error.
         source: ResponseError,
     },
 }
@@ -50,16 +50,17 @@
     ExchangeError::Lost { why: error.kind().to_string() }
 }
 
-/// A connection, with what was read of it and not used yet.
+/// A connection to a server, with its read buffer.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    idle_for: Duration,
-    /// On a clock that counts suspended time: a server closes what rested while this node was suspended.
+    idle_timeout: Duration,
+    /// On a clock that includes suspend time: a server closes connections that were idle while this node
+    /// was suspended.
     idle_since: Time,
-    /// A request was sent, and its answer is not known to be whole.
-    unanswered: bool,
+    /// A request was sent, and its response is not complete yet.
+    response_pending: bool,
 }
 
 impl Connection {
@@ -81,15 +82,15 @@
         Ok(Self {
             stream,
             buffer: BytesMut::new(),
-            idle_for: IDLE_DEFAULT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
             idle_since: BootClock.now(),
-            unanswered: false,
+            response_pending: false,
         })
     }
 
-    /// True if it can carry another request: open, silent, and not idle for too long.
+    /// Whether it can carry another request: it is open, has no unread bytes, and was not idle for too long.
     pub fn is_reusable(&self) -> bool {
-        if !self.buffer.is_empty() || BootClock.now().since(self.idle_since) >= self.idle_for {
+        if !self.buffer.is_empty() || BootClock.now().since(self.idle_since) >= self.idle_timeout {
             return false;
         }
         let mut byte = [0_u8; 1];
@@ -97,38 +98,38 @@
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Notes that an answer is over and the connection is idle from now on.
+    /// Marks the connection as idle from now on, with the keep-alive timeout that the server stated.
     pub fn mark_idle(&mut self, keep_alive: Option<Duration>) {
         self.idle_since = BootClock.now();
         self.buffer = BytesMut::new();
-        if let Some(named) = keep_alive {
-            self.idle_for = named.saturating_sub(IDLE_MARGIN);
+        if let Some(timeout) = keep_alive {
+            self.idle_timeout = timeout.saturating_sub(IDLE_MARGIN);
         }
     }
 
-    /// Notes that the answer to what was sent is whole.
+    /// Records that the response to the last request is complete.
     pub fn response_complete(&mut self) {
-        self.unanswered = false;
+        self.response_pending = false;
     }
 
-    /// True if bytes are left over that belong to no answer.
+    /// Whether there are unread bytes that belong to no response.
     pub fn has_leftover(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Sends a request. Returns early, with `false`, if the server answers before it has read all.
+    /// Sends a request. Returns `false` early if the server responds before it has read all of it.
     pub async fn send(&mut self, request: &[u8]) -> Result<bool, ExchangeError> {
-        self.unanswered = true;
+        self.response_pending = true;
         let (mut reader, mut writer) = self.stream.split();
         let writing = writer.write_all(request);
-        let early = async {
+        let early_response = async {
             self.buffer.reserve(READ_SIZE);
             reader.read_buf(&mut self.buffer).await
         };
         tokio::select! {
             biased;
             written = writing => written.map(|()| true).map_err(|error| lost(&error)),
-            read = early => match read {
+            read = early_response => match read {
                 Ok(0) => Err(ExchangeError::Lost { why: "closed while sending".into() }),
                 Ok(_) => Ok(false),
                 Err(error) => Err(lost(&error)),
@@ -136,32 +137,32 @@
         }
     }
 
-    /// Reads more bytes. Zero at the end of the connection.
+    /// Reads more bytes into the buffer. Returns zero at the end of the connection.
     async fn fill(&mut self) -> Result<usize, ExchangeError> {
         self.buffer.reserve(READ_SIZE);
         self.stream.read_buf(&mut self.buffer).await.map_err(|error| lost(&error))
     }
 
-    /// Reads the next head that is not merely informational.
+    /// Reads the next response head, skipping informational (1xx) ones.
     pub async fn read_head(
         &mut self,
         dialect: &dyn Dialect,
     ) -> Result<ResponseHead, ExchangeError> {
         loop {
-            let taken = parse_head(dialect, &mut self.buffer);
-            let head = taken.map_err(|source| ExchangeError::Malformed { source })?;
+            let parsed = parse_head(dialect, &mut self.buffer);
+            let head = parsed.map_err(|source| ExchangeError::Malformed { source })?;
             match head {
                 Some(head) if head.status.is_informational() => continue,
                 Some(head) => return Ok(head),
                 None if self.fill().await? == 0 => {
-                    return Err(ExchangeError::Lost { why: "closed without an answer".into() });
+                    return Err(ExchangeError::Lost { why: "closed before the response".into() });
                 }
                 None => {}
             }
         }
     }
 
-    /// Reads the next part of a body; `None` at its end.
+    /// Reads the next chunk of a body; `None` at its end.
     pub async fn read_chunk(
         &mut self,
         body: &mut BodyDecoder,
@@ -174,7 +175,9 @@
                 DecodeStep::More if self.fill().await? == 0 => {
                     return match body.ends_with_connection() {
                         true => Ok(None),
-                        false => Err(ExchangeError::Lost { why: "body broken off".into() }),
+                        false => Err(ExchangeError::Lost {
+                            why: "closed within the response body".into(),
+                        }),
                     };
                 }
                 DecodeStep::More => {}
@@ -184,10 +187,11 @@
 }
 
 impl Drop for Connection {
-    /// A request that is given up is taken back as far as it is still on its way. After a mere close the system goes on
-    /// delivering it, also seconds later behind a cut that heals.
+    /// Resets the connection of an abandoned request, to discard what has not been delivered yet. After a
+    /// plain close, the operating system would still deliver it, even seconds later when a network
+    /// partition ends.
     fn drop(&mut self) {
-        if self.unanswered
+        if self.response_pending
             && let Err(error) = self.stream.set_zero_linger()
         {
             log::warn!(error:% = error; "connection_not_reset");
--- a/crates/portrack/src/gateway/connections/mod.rs
+++ b/crates/portrack/src/gateway/connections/mod.rs
@@ -1,7 +1,7 @@
-//! Connections to servers: kept ones, the heads and bodies of answers.
+//! HTTP/1.1 connections to backend servers: connection pool, response heads and bodies.
 //!
-//! In come bytes; out go answers, or what is known of a request without one. A connection with bytes left
-//! over is never used again.
+//! Input are bytes; output are responses, or an error that tells whether the request may have run. A
+//! connection with unread bytes is never reused.
 
 pub(in crate::gateway) mod body;
 pub(in crate::gateway) mod connection;
--- a/crates/portrack/src/gateway/connections/pool.rs
+++ b/crates/portrack/src/gateway/connections/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers, kept between requests.
+//! Pool of keep-alive connections to backend servers.
 
 use super::connection::{Connection, ExchangeError};
 use std::cell::RefCell;
@@ -6,44 +6,44 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Idle connections kept to one server.
-const IDLE_KEPT: usize = 24;
+/// Maximum number of idle connections per server.
+const MAX_IDLE: usize = 24;
 
 #[derive(Debug, Default)]
 struct ServerPool {
     idle: Vec<Connection>,
     open: usize,
-    /// How often the server was forgotten: connections lent before that are not kept.
-    forgotten: u32,
+    /// Incremented when the server's connections are closed; connections acquired before are not reused.
+    generation: u32,
 }
 
-/// Pools by the server's id.
+/// Connections to all servers, by server id.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     servers: RefCell<HashMap<Rc<str>, ServerPool>>,
 }
 
-/// A connection in use; gives its place back when dropped.
+/// A connection in use; closed on drop unless released.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Rc<ConnectionPool>,
     server: Rc<str>,
-    forgotten: u32,
+    generation: u32,
     connection: Option<Connection>,
 }
 
 impl PooledConnection {
     /// The connection.
     pub fn connection(&mut self) -> &mut Connection {
-        self.connection.as_mut().expect("lent until it is kept")
+        self.connection.as_mut().expect("a connection until it is released")
     }
 
-    /// Puts the connection back for another request.
+    /// Returns the connection to the pool for reuse.
     pub fn release(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let mut servers = self.pool.servers.borrow_mut();
         let Some(server) = servers.get_mut(&self.server) else { return };
-        if server.idle.len() < IDLE_KEPT && server.forgotten == self.forgotten {
+        if server.idle.len() < MAX_IDLE && server.generation == self.generation {
             server.idle.push(connection);
         } else {
             server.open = server.open.saturating_sub(1);
@@ -62,46 +62,46 @@
     }
 }
 
-/// Why no connection was lent.
+/// Reason why no connection could be acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AcquireError {
-    /// This daemon's share of the server's connections is in use.
+    /// All connections of this daemon's share are in use.
     Full,
     /// The server could not be reached.
     Unreachable(ExchangeError),
 }
 
 impl ConnectionPool {
-    /// Lends a connection: a clean idle one, or a new one if fewer than `most` are open.
+    /// Acquires a connection: a reusable idle one, or a new one if fewer than `max_open` are open.
     pub async fn acquire(
         self: &Rc<Self>,
         server: &Rc<str>,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
     ) -> Result<PooledConnection, AcquireError> {
-        if let Some(connection) = self.clean(server) {
-            return Ok(self.lent(server, connection));
+        if let Some(connection) = self.take_idle(server) {
+            return Ok(self.checked_out(server, connection));
         }
-        if !self.take_place(server, most) {
+        if !self.reserve(server, max_open) {
             return Err(AcquireError::Full);
         }
-        let place = Place { pool: self, server, kept: false };
+        let reservation = Reservation { pool: self, server, confirmed: false };
         let opened = Connection::open(address).await.map_err(AcquireError::Unreachable)?;
-        place.keep();
-        Ok(self.lent(server, opened))
+        reservation.confirm();
+        Ok(self.checked_out(server, opened))
     }
 
-    fn lent(self: &Rc<Self>, server: &Rc<str>, connection: Connection) -> PooledConnection {
-        let forgotten = self.servers.borrow().get(server).map_or(0, |pool| pool.forgotten);
+    fn checked_out(self: &Rc<Self>, server: &Rc<str>, connection: Connection) -> PooledConnection {
+        let generation = self.servers.borrow().get(server).map_or(0, |pool| pool.generation);
         PooledConnection {
             pool: self.clone(),
             server: server.clone(),
-            forgotten,
+            generation,
             connection: Some(connection),
         }
     }
 
-    fn clean(&self, server: &Rc<str>) -> Option<Connection> {
+    fn take_idle(&self, server: &Rc<str>) -> Option<Connection> {
         let mut servers = self.servers.borrow_mut();
         let server = servers.get_mut(server)?;
         while let Some(connection) = server.idle.pop() {
@@ -113,17 +113,17 @@
         None
     }
 
-    fn take_place(&self, server: &Rc<str>, most: usize) -> bool {
+    fn reserve(&self, server: &Rc<str>, max_open: usize) -> bool {
         let mut servers = self.servers.borrow_mut();
         let server = servers.entry(server.clone()).or_default();
-        if server.open >= most.max(1) {
+        if server.open >= max_open.max(1) {
             return false;
         }
         server.open += 1;
         true
     }
 
-    /// Closes idle connections that can no longer be used.
+    /// Closes idle connections that can no longer be reused.
     pub fn close_unusable(&self) {
         let mut servers = self.servers.borrow_mut();
         for server in servers.values_mut() {
@@ -134,34 +134,34 @@
         servers.retain(|_, server| server.open > 0);
     }
 
-    /// Closes the idle connections to a server that is gone or has started again; those that are lent
-    /// are closed when they come back.
+    /// Closes the idle connections to a server that was removed or has restarted; those in use are
+    /// closed when they are released.
     pub fn close_server(&self, server: &str) {
         let mut servers = self.servers.borrow_mut();
         let Some(pool) = servers.get_mut(server) else { return };
         let idle = pool.idle.len();
         pool.idle.clear();
-        pool.forgotten += 1;
+        pool.generation += 1;
         pool.open = pool.open.saturating_sub(idle);
     }
 }
 
-/// A place taken for a connection that is coming up; given back unless kept.
-struct Place<'a> {
+/// Counts a connection that is being opened; undone on drop unless confirmed.
+struct Reservation<'a> {
     pool: &'a ConnectionPool,
     server: &'a Rc<str>,
-    kept: bool,
+    confirmed: bool,
 }
 
-impl Place<'_> {
-    fn keep(mut self) {
-        self.kept = true;
+impl Reservation<'_> {
+    fn confirm(mut self) {
+        self.confirmed = true;
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        if self.kept {
+        if self.confirmed {
             return;
         }
         if let Some(server) = self.pool.servers.borrow_mut().get_mut(self.server) {
--- a/crates/portrack/src/gateway/connections/response.rs
+++ b/crates/portrack/src/gateway/connections/response.rs
@@ -1,4 +1,4 @@
-//! The head of a server's answer.
+//! Parser of response heads.
 
 use crate::gateway::dialect::{Dialect, ResponseMeta};
 use actix_http::StatusCode;
@@ -7,74 +7,75 @@
 use snafu::Snafu;
 use std::time::Duration;
 
-/// Headers of an answer that are read.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
-/// Bytes of an answer's head that are read.
+/// Maximum size of a response head in bytes.
 const MAX_HEAD: usize = 32 * 1024;
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// By a last chunk.
+    /// By the last chunk.
     Chunked,
-    /// By the end of the connection.
+    /// By the close of the connection.
     UntilClose,
 }
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
-    /// The headers to hand on: all but those of one connection.
+    /// The end-to-end headers, which are forwarded.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// How its body ends.
+    /// The framing of the body.
     pub framing: Framing,
-    /// The connection ends after it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
-    /// The server closes the connection when it has been idle for this long.
+    /// The idle time after which the server closes the connection.
     pub keep_alive: Option<Duration>,
-    /// What it says of the request.
+    /// The platform's headers.
     pub meta: ResponseMeta,
 }
 
-/// Bytes that are no answer.
+/// Bytes that are not a valid response.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("not an answer: {why}"))]
+#[snafu(display("invalid response: {why}"))]
 pub struct ResponseError {
-    /// What is wrong.
+    /// The reason.
     pub why: String,
 }
 
-fn wrong(why: impl Into<String>) -> ResponseError {
+fn invalid(why: impl Into<String>) -> ResponseError {
     ResponseError { why: why.into() }
 }
 
-/// Takes a whole head off the front of `buffer`; `None` while it is not whole yet.
+/// Removes a complete head from the front of `buffer`; `None` while it is incomplete.
 pub fn parse_head(
     dialect: &dyn Dialect,
     buffer: &mut BytesMut,
 ) -> Result<Option<ResponseHead>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let parsed = response.parse(buffer).map_err(|error| wrong(error.to_string()))?;
+    let parsed = response.parse(buffer).map_err(|error| invalid(error.to_string()))?;
     let httparse::Status::Complete(length) = parsed else {
         return match buffer.len() > MAX_HEAD {
-            true => Err(wrong("the head is too long")),
+            true => Err(invalid("head too long")),
             false => Ok(None),
         };
     };
-    let code = response.code.ok_or_else(|| wrong("no status"))?;
-    let status = StatusCode::from_u16(code).map_err(|_| wrong("bad status"))?;
+    let code = response.code.ok_or_else(|| invalid("missing status"))?;
+    let status = StatusCode::from_u16(code).map_err(|_| invalid("invalid status"))?;
     let http_10 = response.version == Some(0);
-    let mut reading = Reading { close: http_10, ..Reading::default() };
+    let mut connection_headers =
+        ConnectionHeaders { close: http_10, ..ConnectionHeaders::default() };
     let mut head_headers = Vec::with_capacity(response.headers.len());
     let mut meta = ResponseMeta::default();
     for header in response.headers.iter() {
         let text = std::str::from_utf8(header.value).unwrap_or_default();
-        if reading.connection_header(header.name, text)? {
+        if connection_headers.parse(header.name, text)? {
             continue;
         }
         dialect.response_header(header.name, text, &mut meta);
@@ -84,28 +85,29 @@
             head_headers.push((name, value));
         }
     }
-    let framing = reading.framing(status);
+    let framing = connection_headers.framing(status);
     buffer.advance(length);
-    let close = reading.close || framing == Framing::UntilClose;
-    let keep_alive = reading.keep_alive;
+    let close = connection_headers.close || framing == Framing::UntilClose;
+    let keep_alive = connection_headers.keep_alive;
     Ok(Some(ResponseHead { status, headers: head_headers, framing, close, keep_alive, meta }))
 }
 
+/// Headers that concern only this connection.
 #[derive(Default)]
-struct Reading {
+struct ConnectionHeaders {
     length: Option<u64>,
     chunked: bool,
     close: bool,
     keep_alive: Option<Duration>,
 }
 
-impl Reading {
-    /// Takes a header of the connection in; true if it is one.
-    fn connection_header(&mut self, name: &str, value: &str) -> Result<bool, ResponseError> {
+impl ConnectionHeaders {
+    /// Parses a header that concerns only this connection; returns whether it is one.
+    fn parse(&mut self, name: &str, value: &str) -> Result<bool, ResponseError> {
         if name.eq_ignore_ascii_case("content-length") {
-            let length = value.trim().parse().map_err(|_| wrong("bad length"))?;
+            let length = value.trim().parse().map_err(|_| invalid("invalid content length"))?;
             if self.length.is_some_and(|before| before != length) {
-                return Err(wrong("two lengths"));
+                return Err(invalid("conflicting content lengths"));
             }
             self.length = Some(length);
             return Ok(true);
--- a/crates/portrack/src/gateway/requests/caller.rs
+++ b/crates/portrack/src/gateway/requests/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller sent, and how answers go back to it.
+//! Requests of callers, and the replies to them.
 
 use crate::gateway::dialect::RequestMeta;
 use crate::types::Time;
@@ -8,24 +8,24 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// A request that was read whole.
+/// A completely received request.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// When its head had arrived.
+    /// The time at which its head was complete.
     pub arrived: Time,
     /// The method.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: String,
-    /// The host asked for.
+    /// The requested host.
     pub host: String,
-    /// The headers to hand on, in order.
+    /// The headers to forward, in order.
     pub headers: Vec<(HeaderName, HeaderValue)>,
     /// The body.
     pub body: Bytes,
-    /// What the platform's headers say.
+    /// The platform's headers.
     pub meta: RequestMeta,
-    /// The last event the caller has of a stream.
+    /// The id of the last event that the caller has received of a stream.
     pub last_event: Option<String>,
 }
 
@@ -36,89 +36,89 @@
     }
 }
 
-/// The head of an answer to a caller.
+/// Head of a reply to a caller.
 #[derive(Debug)]
 pub struct ReplyHead {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// The length of the body; a stream if left out.
+    /// The length of the body; a stream of unknown length if `None`.
     pub length: Option<u64>,
 }
 
-/// The caller's connection is gone.
+/// The caller has disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Takes one answer to a caller.
+/// Receives one reply to a caller.
 pub trait ReplySink {
-    /// Begins the answer.
+    /// Starts the reply.
     fn head(&mut self, head: ReplyHead) -> impl Future<Output = Result<(), CallerGone>>;
-    /// Goes on with the body.
-    fn part(&mut self, part: Bytes) -> impl Future<Output = Result<(), CallerGone>>;
-    /// Ends the answer as a whole one.
+    /// Continues the body.
+    fn chunk(&mut self, chunk: Bytes) -> impl Future<Output = Result<(), CallerGone>>;
+    /// Completes the reply.
     fn finish(&mut self) -> impl Future<Output = Result<(), CallerGone>>;
 }
 
-/// How the gateway itself ends a request.
+/// A refusal of a request by the gateway itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refused {
     /// The status.
     pub status: StatusCode,
-    /// Why, for logs and the answer's body.
+    /// The reason, for logs and the body of the reply.
     pub reason: RefusalReason,
-    /// When the caller may come back.
+    /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// Why the gateway ends a request itself.
+/// Reason why the gateway refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// There is no configuration yet.
     NoConfig,
-    /// No route leads anywhere.
+    /// No route matches.
     NoRoute,
-    /// The route's service has no server that takes work.
+    /// The route's service has no server that accepts requests.
     NoServer,
-    /// No server that takes work is left in the regions in which it may be served.
+    /// No server that accepts requests is left in the regions in which the request may be served.
     NoAllowedServer,
-    /// The adapter is not loaded, and will not be in time.
+    /// The adapter is not loaded and will not be in time.
     NotLoaded,
-    /// Every server turned it away.
+    /// All servers have rejected it.
     Busy,
-    /// The caller's time or the route's is over before it was sent.
+    /// The deadline of the caller or the route passed before it was sent.
     Expired,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     Budget,
-    /// A server may have run it, and its answer is lost.
+    /// A server may have run it, but the response is lost.
     Lost,
-    /// A server may still be running it at the end of its time.
+    /// A server may still be running it at its deadline.
     TimedOut,
-    /// The headers cannot be read.
+    /// The request is malformed, too large, or was not received in time.
     BadRequest,
-    /// The daemon is being stopped and could not finish it.
+    /// The daemon is stopping and could not finish it in time.
     Stopping,
-    /// It shows no key.
+    /// It has no key.
     MissingKey,
-    /// It shows several keys.
+    /// It has several keys.
     MultipleKeys,
-    /// What it shows is no key.
+    /// Its credential is not a key.
     MalformedKey,
-    /// No organisation holds its key.
+    /// Its key belongs to no organisation.
     UnknownKey,
-    /// Its key was taken away.
+    /// Its key was revoked.
     RevokedKey,
-    /// What is known of keys and routes may be out of date.
+    /// The keys and routes known here may be out of date.
     NoProof,
-    /// Its organisation has used up its quota.
+    /// The quota of its organisation is exhausted.
     Quota,
-    /// Servers ended under it, one after the other.
+    /// Several server processes ended while they ran it.
     Quarantined,
 }
 
 impl RefusalReason {
-    /// The name in logs, metrics and answers.
+    /// The name in logs, metrics and replies.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoConfig => "no_config",
@@ -163,7 +163,7 @@
 }
 
 impl Refused {
-    /// A refusal; `retry_after` only where the request has not run.
+    /// Creates a refusal; `retry_after` must only be set if the request has not run.
     pub fn new(reason: RefusalReason, retry_after: Option<Duration>) -> Self {
         Self { status: reason.status(), reason, retry_after }
     }
--- a/crates/portrack/src/gateway/requests/events.rs
+++ b/crates/portrack/src/gateway/requests/events.rs
@@ -1,8 +1,8 @@
-//! Whole events of a stream that may be resumed.
+//! Splits a resumable event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Hands on whole events only, and remembers the id of the last one.
+/// Passes on complete events only, and remembers the id of the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -10,37 +10,37 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in and gives back all whole events so far.
-    pub fn push(&mut self, part: &[u8]) -> Option<Bytes> {
-        self.partial.extend_from_slice(part);
+    /// Adds bytes and returns all events that are complete, if any.
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
+        self.partial.extend_from_slice(bytes);
         let end = last_event_end(&self.partial)?;
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Forgets the part of an event at the end of a broken stream.
+    /// Discards the incomplete event at the end of a broken stream.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// What is left at the end of a stream.
-    pub fn rest(&mut self) -> Bytes {
+    /// Takes the remaining bytes at the end of a stream.
+    pub fn take_rest(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 }
 
-/// The offset behind the last blank line.
+/// The offset after the last blank line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
-    let blank = |pair: &[u8]| pair == b"\n\n";
-    let unix = bytes.windows(2).rposition(blank).map(|at| at + 2);
+    let is_blank_line = |pair: &[u8]| pair == b"\n\n";
+    let unix = bytes.windows(2).rposition(is_blank_line).map(|at| at + 2);
     let dos = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
     unix.max(dos)
 }
--- a/crates/portrack/src/gateway/requests/handler.rs
+++ b/crates/portrack/src/gateway/requests/handler.rs
@@ -1,9 +1,9 @@
-//! The path of a request: route, server, tries, answer.
+//! Handles requests: routing, authentication, quotas, server selection, retries, responses.
 
 use super::caller::{CallerRequest, RefusalReason, Refused, ReplySink};
 use super::exchange::{NotRunReason, OutgoingRequest, SendOutcome, request_bytes, send_request};
 use super::job::{Choice, Job, Progress, RequestOutcome, RequestRecord, timed_out};
-use super::relay::{Relay, RelayEnd};
+use super::relay::{Relay, RelayOutcome};
 use super::retries::RetryBudgets;
 use super::routes::pick_target;
 use crate::gateway::admission::{Charge, FreshnessProof, KeyFreshnessRules, Quotas, authenticate};
@@ -31,76 +31,76 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Sends beyond a route's attempts that are allowed if the earlier ones were not run.
-const EXTRA_SENDS: u32 = 2;
-/// When to come back if nothing is known yet.
-const UNKNOWN_RETRY: Duration = Duration::from_millis(500);
-/// A request that may be repeated is tried elsewhere after this many times its objective.
-const SLOW_FACTOR: u32 = 3;
+/// Sends in addition to a route's attempts that are allowed if earlier ones were not run.
+const MAX_EXTRA_SENDS: u32 = 2;
+/// Retry delay while there is no configuration, or none of the service.
+const NOT_READY_RETRY: Duration = Duration::from_millis(500);
+/// Multiple of its latency objective after which a repeatable request is tried at another server.
+const SLOW_OBJECTIVES: u32 = 3;
 
-/// Everything that the path of requests shares.
+/// Handles requests; holds the state that they share.
 pub struct RequestHandler {
     /// The monotonic clock.
     pub clock: Rc<dyn Clock>,
-    /// The platform's messages.
+    /// The platform's dialect.
     pub dialect: Rc<dyn Dialect>,
-    /// What is known of the fleet.
+    /// This daemon's view of the fleet.
     pub view: Rc<RefCell<FleetView>>,
-    /// How fresh the view is.
+    /// Proof of how fresh the view is.
     pub proof: Rc<FreshnessProof>,
-    /// How fresh it must be for keys.
+    /// How fresh the view must be to accept keys.
     pub key_rules: KeyFreshnessRules,
-    /// What organisations may send.
+    /// Quotas of organisations.
     pub quotas: Rc<Quotas>,
-    /// Arrivals at servers.
+    /// Grants for sending to servers.
     pub grants: Rc<Grants>,
-    /// SlotService of the servers of small services.
+    /// Slots of the servers of small services.
     pub slots: Rc<SlotService>,
-    /// The daemons that may do duties for others.
+    /// The daemons that are eligible for tasks on behalf of others.
     pub eligible_daemons: Rc<RefCell<Daemons>>,
-    /// Woken when the view has changed.
+    /// Notified when the view has changed.
     pub view_changed: Rc<Notify>,
-    /// Which servers may be slow from their start.
+    /// Servers that may still be slow after their start.
     pub coldness: Rc<RefCell<ColdStartTracker>>,
     /// Load and health of the servers.
     pub loads: Rc<LoadTable>,
     /// Connections to the servers.
     pub pool: Rc<ConnectionPool>,
-    /// What servers say of how much they take.
+    /// Rate limits and backoffs that servers have announced.
     pub backpressure: Rc<Backpressure>,
-    /// Servers that leave by their own word.
+    /// Servers that have announced that they are leaving.
     pub leaving: Rc<LeavingServers>,
-    /// Requests that servers ended under.
+    /// Requests under which servers have ended.
     pub quarantine: Rc<Quarantine>,
-    /// What may be repeated.
+    /// Retry budgets.
     pub retries: RefCell<RetryBudgets>,
-    /// What is asked for.
+    /// Demand for adapters.
     pub demand: Rc<AdapterDemandTracker>,
-    /// True if some daemon, as far as known, may order this server.
+    /// Whether some daemon, as far as known, may send orders to a server.
     pub is_ordered: Box<dyn Fn(&str) -> bool>,
-    /// Where this daemon is.
+    /// The data hall and region of this daemon.
     pub locality: Rc<Locality>,
-    /// What goes to other regions.
+    /// Traffic to other regions.
     pub traffic: Rc<RegionTraffic>,
-    /// Daemons that share the servers' connections and the retry budget.
+    /// Number of daemons that share the servers' connections and the retry budgets.
     pub daemon_count: Cell<usize>,
-    /// The loads of servers are known some hundred milliseconds late, as in fleets where not every
-    /// heartbeat reaches all.
+    /// Whether the servers' loads are known only some hundred milliseconds late, as in fleets where not
+    /// every heartbeat is sent to all daemons.
     pub loads_are_delayed: Cell<bool>,
-    /// Counts requests held back right before they were sent, their servers having closed.
+    /// Counts requests that were held back just before they were sent, since their server had closed.
     pub held_back: IntCounter,
 }
 
-/// What follows after a try.
-enum Next {
+/// What to do after an attempt.
+enum NextStep {
     /// Try another server.
-    Again,
-    /// It is over.
-    End(RequestOutcome),
+    Retry,
+    /// Finish the request.
+    Finish(RequestOutcome),
 }
 
 impl RequestHandler {
-    /// Serves a request to its end.
+    /// Handles a request to its end.
     pub async fn serve(
         &self,
         request: &CallerRequest,
@@ -120,13 +120,13 @@
             Err(refused) => return RequestRecord::refused_on(refused, job.route.clone()),
         };
         let now = self.clock.now();
-        self.retries.borrow_mut().note_request(now, &job.service.name);
+        self.retries.borrow_mut().record_request(now, &job.service.name);
         let mut relay = Relay::new(&job.route);
         let time_left = job.deadline.since(now);
         let running = self.run(&mut job, &mut relay, sink);
         let end = match actix_rt::time::timeout(time_left, running).await {
             Ok(end) => end,
-            Err(_) if relay.begun() => RequestOutcome::Broken("deadline".into()),
+            Err(_) if relay.has_started() => RequestOutcome::Broken("deadline".into()),
             Err(_) => RequestOutcome::Refused(timed_out(&job)),
         };
         RequestRecord {
@@ -148,22 +148,22 @@
         let view = self.view.borrow();
         let config = view
             .config()
-            .ok_or_else(|| Refused::new(RefusalReason::NoConfig, Some(UNKNOWN_RETRY)))?;
+            .ok_or_else(|| Refused::new(RefusalReason::NoConfig, Some(NOT_READY_RETRY)))?;
         let (rules, proof) = (&self.key_rules, &self.proof);
-        // Without keys, an unknown route is refused without a look at the proof.
+        // Without keys, an unknown route is refused regardless of the proof.
         let no_route = || match config.organisations {
             Some(_) => rules.unknown(now, proof, RefusalReason::NoRoute),
             None => Refused::new(RefusalReason::NoRoute, None),
         };
         let route = view.route(&request.host, request.path());
         let route = route.ok_or_else(no_route)?.clone();
-        let shown = request.meta.credential;
-        let admitted = authenticate(now, config, &route, shown, &view.revoked, rules, proof)?;
+        let credential = request.meta.credential;
+        let admitted = authenticate(now, config, &route, credential, &view.revoked, rules, proof)?;
         let name = admitted.organisation.as_ref().map(|organisation| organisation.name.clone());
         *progress.organisation.borrow_mut() = name;
         let service = pick_target(&route, &request.meta.id)
             .and_then(|target| view.service(&target.service))
-            .ok_or_else(|| Refused::new(RefusalReason::NoServer, Some(UNKNOWN_RETRY)))?
+            .ok_or_else(|| Refused::new(RefusalReason::NoServer, Some(NOT_READY_RETRY)))?
             .clone();
         let patience = request.meta.patience.unwrap_or(route.timeout).min(route.timeout);
         let deadline = request.arrived + patience;
@@ -176,24 +176,24 @@
             charge: Charge::free(),
             deadline,
             sends: 0,
-            runs: 0,
+            possible_runs: 0,
             tried: Vec::new(),
             servers_at_limit: RefCell::default(),
             server: None,
             last_event: request.last_event.clone(),
             last_failure: String::new(),
             adapter_note: RefCell::default(),
-            mark: OnceCell::new(),
+            fingerprint: OnceCell::new(),
             on_trial: false,
         })
     }
 
-    /// True if proof of the configuration is fresh enough for requests that a key opens.
+    /// Whether the proof of the configuration is fresh enough to accept keys.
     pub fn accepts_keys(&self) -> bool {
         self.key_rules.accepts_keys(self.clock.now(), &self.proof)
     }
 
-    /// Takes what a request needs of its organisation's quota.
+    /// Takes the units of a request from its organisation's quota.
     async fn charge(&self, job: &Job<'_>) -> Result<Charge, Refused> {
         match &job.admitted.organisation {
             Some(organisation) => self.quotas.admit(organisation, job.request.meta.tokens).await,
@@ -208,16 +208,16 @@
         sink: &mut impl ReplySink,
     ) -> RequestOutcome {
         loop {
-            let choosing = tokio::select! {
+            let selected = tokio::select! {
                 biased;
                 chosen = self.choose_granted(job) => chosen,
                 left = self.until_held(job) => {
-                    return job.held_back(left, relay.begun());
+                    return job.held_back(left, relay.has_started());
                 }
             };
-            let choice = match choosing {
+            let choice = match selected {
                 Ok(choice) => choice,
-                Err(refused) if relay.begun() => {
+                Err(refused) if relay.has_started() => {
                     return RequestOutcome::Broken(refused.reason.name().into());
                 }
                 Err(_) if job.may_have_run() => {
@@ -225,27 +225,27 @@
                 }
                 Err(refused) => return RequestOutcome::Refused(refused),
             };
-            match self.try_at(job, &choice, relay, sink).await {
-                Next::Again => {}
-                Next::End(end) => return end,
+            match self.try_server(job, &choice, relay, sink).await {
+                NextStep::Retry => {}
+                NextStep::Finish(end) => return end,
             }
         }
     }
 
-    async fn try_at(
+    async fn try_server(
         &self,
         job: &mut Job<'_>,
         choice: &Choice,
         relay: &mut Relay,
         sink: &mut impl ReplySink,
-    ) -> Next {
+    ) -> NextStep {
         if let Some(left) = self.held_for(job) {
-            return Next::End(job.held_back(left, relay.begun()));
+            return NextStep::Finish(job.held_back(left, relay.has_started()));
         }
-        if job.sends > 0 && !self.may_send_again(job) {
-            return Next::End(match relay.begun() {
+        if job.sends > 0 && !self.may_retry(job) {
+            return NextStep::Finish(match relay.has_started() {
                 true => RequestOutcome::Broken("retry budget".into()),
-                false => job.out_of_tries(RefusalReason::Budget, None),
+                false => job.no_server_left(RefusalReason::Budget, None),
             });
         }
         let backend = &choice.backend;
@@ -256,77 +256,84 @@
         let bytes = request_bytes(&*self.dialect, job.request, &self.forward_meta(job, choice));
         let tokens = job.model().map_or(0, |model| model.prompt_tokens as u32);
         let mut guard = self.loads.begin(now, &backend.id, tokens);
-        let _using = job.adapter().map(|key| self.demand.begin(&backend.id, &key));
-        let most = self.connections_share(&job.service);
+        let _usage = job.adapter().map(|key| self.demand.begin(&backend.id, &key));
+        let max_connections = self.max_connections(&job.service);
         job.sends += 1;
         job.progress.timings.record_sent(now);
         job.charge.mark_sent();
         choice.sent(now);
         self.traffic.count_server_bytes("requests", &backend.hall, bytes.len());
         let id = &job.request.meta.id;
-        let may_send = || self.may_send_now(job, choice);
-        let heard = |head: &ResponseHead| {
+        let may_send = || self.check_before_send(job, choice);
+        let on_head = |head: &ResponseHead| {
             self.backpressure.on_response(backend, now, head.status.as_u16(), &head.meta);
             self.leaving.on_response(backend, head.meta.leaving);
         };
-        let outgoing = OutgoingRequest { request_id: id, bytes: &bytes, most_connections: most };
-        let exchanging =
-            send_request(&*self.dialect, &self.pool, backend, outgoing, may_send, heard);
-        let sent = match self.slow_after(job, now) {
-            Some(patience) => match actix_rt::time::timeout(patience, exchanging).await {
+        let outgoing =
+            OutgoingRequest { request_id: id, bytes: &bytes, most_connections: max_connections };
+        let sending =
+            send_request(&*self.dialect, &self.pool, backend, outgoing, may_send, on_head);
+        let sent = match self.slow_timeout(job, now) {
+            Some(patience) => match actix_rt::time::timeout(patience, sending).await {
                 Ok(sent) => sent,
                 Err(_) => SendOutcome::MayHaveRun(crate::gateway::ExchangeError::Lost {
                     why: "slow".into(),
                 }),
             },
-            None => exchanging.await,
+            None => sending.await,
         };
         drop(bytes);
         match sent {
-            SendOutcome::NotRun(why) => self.after_not_run(job, choice, &why, relay),
+            SendOutcome::NotRun(why) => self.on_not_run(job, choice, &why, relay),
             SendOutcome::MayHaveRun(error) => {
-                job.runs += 1;
+                job.possible_runs += 1;
                 choice.ended(SlotEnd::Failed);
                 choice.grant_ended(GrantEnd::Lost);
                 self.coldness.borrow_mut().assume_cold(self.clock.now(), &backend.id);
                 self.loads.record_outcome_of(self.clock.now(), backend, true);
                 job.last_failure = error.to_string();
-                self.note_broken(job, &error, backend);
-                self.after_loss(job, relay)
+                self.record_connection_lost(job, &error, backend);
+                self.on_loss(job, relay)
             }
-            SendOutcome::Answer(answer) => {
-                job.runs += 1;
+            SendOutcome::Answer(response) => {
+                job.possible_runs += 1;
                 guard.begun();
                 job.progress.begun.set(true);
                 guard.record_activity(self.clock.now());
                 let timings = &job.progress.timings;
-                let heard = || {
+                let on_chunk = || {
                     let now = self.clock.now();
                     guard.record_activity(now);
                     timings.record_chunk(now);
                     choice.begun(now);
                 };
-                let end = relay.answer(job, *answer, sink, heard).await;
+                let end = relay.forward(job, *response, sink, on_chunk).await;
                 choice.begun(self.clock.now());
-                if let Some(apart) = timings.mean_event_gap() {
-                    self.grants.record_event_gap(&job.service.name, apart);
+                if let Some(gap) = timings.mean_event_gap() {
+                    self.grants.record_event_gap(&job.service.name, gap);
                 }
-                self.traffic.count_server_bytes("answers", &backend.hall, relay.take_received());
+                self.traffic.count_server_bytes(
+                    "answers",
+                    &backend.hall,
+                    relay.take_received_bytes(),
+                );
                 drop(guard);
                 if matches!(
                     end,
-                    RelayEnd::Failed(_) | RelayEnd::Unusable(_) | RelayEnd::BrokenOff(_)
+                    RelayOutcome::Failed(_)
+                        | RelayOutcome::Invalid(_)
+                        | RelayOutcome::Interrupted(_)
                 ) {
                     choice.ended(SlotEnd::Failed);
                 }
-                self.after_relay(job, backend, end, relay)
+                self.on_relay_outcome(job, backend, end, relay)
             }
         }
     }
 
-    /// Whether a request may be sent at this moment: what is known of its server, and of the request, may have changed while a
-    /// connection was opened.
-    fn may_send_now(&self, job: &Job<'_>, choice: &Choice) -> Result<(), NotRunReason> {
+    /// Checks whether a request may be sent now: the state of the server and of the request may have changed
+    /// while a connection was opened.
+    fn check_before_send(&self, job: &Job<'_>, choice: &Choice) -> Result<(), NotRunReason> {
         let (backend, mark) = (&choice.backend, choice.backend.incarnation_hash());
         if !self.view.borrow().accepts_requests(self.clock.now(), &backend.id) {
             return Err(NotRunReason::Closed);
@@ -337,27 +344,28 @@
         if self.backpressure.backoff_remaining(mark).is_some() {
             return Err(NotRunReason::Resting);
         }
-        if !self.is_let_in(choice) {
+        if !self.has_required_grant(choice) {
             return Err(NotRunReason::Ungranted);
         }
         self.backpressure.sent(mark);
         Ok(())
     }
 
-    /// True if a request may be sent by the limit that its server names, if it does: on a grant, and before long. The
-    /// server may have named it after it was chosen.
-    fn is_let_in(&self, choice: &Choice) -> bool {
-        let fresh = |grant: &GrantGuard| grant.is_fresh(self.clock.now());
-        !self.grants.is_limited(&choice.backend) || choice.grant.as_ref().is_some_and(fresh)
+    /// Whether a request has the recent grant that it needs if its server announces a rate limit. The server
+    /// may have announced it after it was selected.
+    fn has_required_grant(&self, choice: &Choice) -> bool {
+        let is_fresh = |grant: &GrantGuard| grant.is_fresh(self.clock.now());
+        !self.grants.is_limited(&choice.backend) || choice.grant.as_ref().is_some_and(is_fresh)
     }
 
-    /// How long a server may take before another one is tried; only where that is allowed.
-    fn slow_after(&self, job: &Job<'_>, now: Time) -> Option<Duration> {
-        let again = job.runs + 1 < job.route.attempts;
-        let plain = job.service.engine.is_none();
-        let patience = job.route.objective * SLOW_FACTOR;
+    /// Time after which another server is tried; `None` if the request must not be sent again.
+    fn slow_timeout(&self, job: &Job<'_>, now: Time) -> Option<Duration> {
+        let may_retry = job.possible_runs + 1 < job.route.attempts;
+        let has_no_engine = job.service.engine.is_none();
+        let patience = job.route.objective * SLOW_OBJECTIVES;
         let left = job.deadline.since(now);
-        (job.route.repeatable() && again && plain && patience * 2 < left).then_some(patience)
+        (job.route.repeatable() && may_retry && has_no_engine && patience * 2 < left)
+            .then_some(patience)
     }
 
     fn forward_meta<'a>(&self, job: &'a Job<'_>, choice: &'a Choice) -> ForwardMeta<'a> {
@@ -373,24 +381,24 @@
         }
     }
 
-    fn connections_share(&self, service: &Service) -> usize {
+    fn max_connections(&self, service: &Service) -> usize {
         (service.max_connections / self.daemon_count.get().max(1)).max(2)
     }
 
-    fn may_send_again(&self, job: &Job<'_>) -> bool {
+    fn may_retry(&self, job: &Job<'_>) -> bool {
         let now = self.clock.now();
-        job.runs < job.route.attempts
-            && job.sends < job.route.attempts + EXTRA_SENDS
-            && self.retries.borrow_mut().take(now, &job.service.name, self.daemon_count.get())
+        job.possible_runs < job.route.attempts
+            && job.sends < job.route.attempts + MAX_EXTRA_SENDS
+            && self.retries.borrow_mut().try_take(now, &job.service.name, self.daemon_count.get())
     }
 
-    fn after_not_run(
+    fn on_not_run(
         &self,
         job: &mut Job<'_>,
         choice: &Choice,
         why: &NotRunReason,
         relay: &Relay,
-    ) -> Next {
+    ) -> NextStep {
         let (now, id) = (self.clock.now(), &choice.backend.id);
         job.last_failure = format!("{why:?}");
         if !job.may_have_run() {
@@ -404,7 +412,7 @@
             NotRunReason::HeldBack => {
                 job.sends -= 1;
                 choice.grant_ended(GrantEnd::Unsent);
-                // It says nothing of the server; only its place is given back.
+                // This is not a failure of the server; only the slot is released.
                 choice.ended(SlotEnd::Answered);
             }
             NotRunReason::Ungranted | NotRunReason::Resting => {
@@ -412,7 +420,7 @@
                 job.tried.pop();
                 choice.grant_ended(GrantEnd::Unsent);
                 choice.ended(SlotEnd::Unsent);
-                return Next::Again;
+                return NextStep::Retry;
             }
             NotRunReason::Closed => {
                 job.sends -= 1;
@@ -439,59 +447,59 @@
         }
         let others = self.has_untried(job);
         if others {
-            return Next::Again;
+            return NextStep::Retry;
         }
-        Next::End(match relay.begun() {
+        NextStep::Finish(match relay.has_started() {
             true => RequestOutcome::Broken("no server left".into()),
-            false => job.out_of_tries(RefusalReason::Busy, self.soonest_rest(job)),
+            false => job.no_server_left(RefusalReason::Busy, self.soonest_rest(job)),
         })
     }
 
-    fn after_loss(&self, job: &Job<'_>, relay: &Relay) -> Next {
-        if job.route.repeatable() && job.runs < job.route.attempts {
-            return Next::Again;
+    fn on_loss(&self, job: &Job<'_>, relay: &Relay) -> NextStep {
+        if job.route.repeatable() && job.possible_runs < job.route.attempts {
+            return NextStep::Retry;
         }
-        Next::End(match relay.begun() {
+        NextStep::Finish(match relay.has_started() {
             true => RequestOutcome::Broken(job.last_failure.clone()),
             false => RequestOutcome::Refused(Refused::new(RefusalReason::Lost, None)),
         })
     }
 
-    fn resume_elsewhere(&self, job: &mut Job<'_>, why: String, relay: &Relay) -> Next {
+    fn resume_elsewhere(&self, job: &mut Job<'_>, why: String, relay: &Relay) -> NextStep {
         job.last_failure = why;
         job.last_event = relay.last_event().map(str::to_owned).or(job.last_event.take());
-        self.after_loss(job, relay)
+        self.on_loss(job, relay)
     }
 
-    fn after_relay(
+    fn on_relay_outcome(
         &self,
         job: &mut Job<'_>,
         server: &Rc<Backend>,
-        end: RelayEnd,
+        end: RelayOutcome,
         relay: &mut Relay,
-    ) -> Next {
+    ) -> NextStep {
         let now = self.clock.now();
         match end {
-            RelayEnd::Whole(status) => {
+            RelayOutcome::Complete(status) => {
                 self.loads.record_outcome_of(now, server, status >= 500);
                 if status < 500 {
-                    self.note_served(job);
+                    self.record_served(job);
                 }
-                Next::End(RequestOutcome::Answered(status))
+                NextStep::Finish(RequestOutcome::Answered(status))
             }
-            RelayEnd::CallerGone => Next::End(RequestOutcome::CallerGone),
-            RelayEnd::Failed(status) => {
+            RelayOutcome::CallerGone => NextStep::Finish(RequestOutcome::CallerGone),
+            RelayOutcome::Failed(status) => {
                 self.loads.record_outcome_of(now, server, true);
                 job.last_failure = format!("status {status}");
-                Next::Again
+                NextStep::Retry
             }
-            RelayEnd::Unusable(why) => {
+            RelayOutcome::Invalid(why) => {
                 self.loads.record_outcome_of(now, server, true);
                 self.resume_elsewhere(job, why, relay)
             }
-            RelayEnd::BrokenOff(error) => {
+            RelayOutcome::Interrupted(error) => {
                 self.loads.record_outcome_of(now, server, true);
-                self.note_broken(job, &error, server);
+                self.record_connection_lost(job, &error, server);
                 self.resume_elsewhere(job, error.to_string(), relay)
             }
         }
--- a/crates/portrack/src/gateway/requests/ingress.rs
+++ b/crates/portrack/src/gateway/requests/ingress.rs
@@ -1,4 +1,4 @@
-//! Serves one caller's connection: reads requests, answers them, notices when the caller leaves.
+//! Serves one connection of a caller: reads requests, writes replies, and detects disconnects.
 
 use super::caller::{CallerGone, CallerRequest, RefusalReason, Refused, ReplyHead, ReplySink};
 use crate::gateway::dialect::Dialect;
@@ -19,16 +19,16 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes read at once.
+/// Size of a read in bytes.
 const READ_SIZE: usize = 4 * 1024;
-/// Bytes of further requests that are read while one is answered.
-const READ_AHEAD: usize = 16 * 1024;
-/// The longest wait for a caller to take bytes.
-const WRITE_PATIENCE: Duration = Duration::from_secs(10);
-/// The longest wait for a body, if nothing else bounds it.
-const BODY_PATIENCE: Duration = Duration::from_secs(15);
-/// Headers that concern one connection only.
-const HOP_HEADERS: [&str; 9] = [
+/// Maximum number of bytes of further requests that are read while one is being served.
+const MAX_READ_AHEAD: usize = 16 * 1024;
+/// Timeout for a write to the caller.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time to receive a body; a shorter timeout of the caller takes precedence.
+const BODY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Headers that concern a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -40,24 +40,25 @@
     "expect",
 ];
 
-/// What a connection asks of the daemon.
-pub trait Host {
+/// The daemon as seen by a connection.
+pub trait ConnectionHost {
     /// The limits in force.
     fn limits(&self) -> CallerLimits;
     /// The clock.
     fn clock(&self) -> &dyn Clock;
-    /// The platform's messages.
+    /// The platform's dialect.
     fn dialect(&self) -> &dyn Dialect;
-    /// True once connections are to be closed after the answer under way.
+    /// Whether connections are to be closed after the current reply.
     fn is_stopping(&self) -> bool;
-    /// Resolves once idle connections are to be closed.
-    fn idle_connections_end(&self) -> impl Future<Output = ()>;
+    /// Resolves when idle connections are to be closed.
+    fn idle_connections_closing(&self) -> impl Future<Output = ()>;
     /// Serves a request.
-    fn serve(&self, request: CallerRequest, sink: &mut Writer<'_>) -> impl Future<Output = ()>;
+    fn serve(&self, request: CallerRequest, sink: &mut ReplyWriter<'_>)
+    -> impl Future<Output = ()>;
 }
 
-/// Writes one answer.
-pub struct Writer<'a> {
+/// Writes replies to a caller's connection.
+pub struct ReplyWriter<'a> {
     write: WriteHalf<'a>,
     codec: Codec,
     buffer: BytesMut,
@@ -65,25 +66,25 @@
     finished: bool,
 }
 
-impl Writer<'_> {
-    /// Ends the request with an answer of the gateway itself.
+impl ReplyWriter<'_> {
+    /// Replies with a refusal of the gateway itself.
     pub async fn refuse(&mut self, refused: &Refused) -> Result<(), CallerGone> {
         let mut headers = Vec::new();
         if let Some(after) = refused.retry_after {
             let seconds = format!("{:.3}", after.as_secs_f64());
-            let value = HeaderValue::from_str(&seconds).expect("digits are a header value");
+            let value = HeaderValue::from_str(&seconds).expect("a number is a valid header value");
             headers.push((RETRY_AFTER, value));
         }
         let body = Bytes::from_static(refused.reason.name().as_bytes());
         let length = Some(body.len() as u64);
         self.head(ReplyHead { status: refused.status, headers, length }).await?;
-        self.part(body).await?;
+        self.chunk(body).await?;
         self.finish().await
     }
 
     async fn flush(&mut self) -> Result<(), CallerGone> {
         let writing = self.write.write_all(&self.buffer);
-        let written = actix_rt::time::timeout(WRITE_PATIENCE, writing).await;
+        let written = actix_rt::time::timeout(WRITE_TIMEOUT, writing).await;
         self.buffer.clear();
         match written {
             Ok(Ok(())) => Ok(()),
@@ -96,7 +97,7 @@
     }
 }
 
-impl ReplySink for Writer<'_> {
+impl ReplySink for ReplyWriter<'_> {
     async fn head(&mut self, head: ReplyHead) -> Result<(), CallerGone> {
         let mut response = Response::with_body(head.status, ());
         for (name, value) in head.headers {
@@ -113,11 +114,11 @@
         }
     }
 
-    async fn part(&mut self, part: Bytes) -> Result<(), CallerGone> {
-        if part.is_empty() {
+    async fn chunk(&mut self, chunk: Bytes) -> Result<(), CallerGone> {
+        if chunk.is_empty() {
             return Ok(());
         }
-        self.encode(Message::Chunk(Some(part)))?;
+        self.encode(Message::Chunk(Some(chunk)))?;
         self.flush().await
     }
 
@@ -131,32 +132,32 @@
     }
 }
 
-/// Why reading a request ended without one.
+/// Reason why no request could be read.
 enum NoRequest {
-    /// The connection is over.
-    Over,
-    /// The request cannot be accepted.
+    /// The connection is closed.
+    Closed,
+    /// The request is refused.
     Refuse(StatusCode, RefusalReason),
 }
 
-struct Reader<'a> {
+struct RequestReader<'a> {
     read: ReadHalf<'a>,
     buffer: BytesMut,
 }
 
-impl Reader<'_> {
+impl RequestReader<'_> {
     async fn fill(&mut self) -> Result<(), NoRequest> {
         self.buffer.reserve(READ_SIZE);
         match self.read.read_buf(&mut self.buffer).await {
-            Ok(0) | Err(_) => Err(NoRequest::Over),
+            Ok(0) | Err(_) => Err(NoRequest::Closed),
             Ok(_) => Ok(()),
         }
     }
 
-    /// Reads ahead until the caller leaves.
-    async fn left(&mut self) {
+    /// Reads ahead until the caller disconnects.
+    async fn disconnected(&mut self) {
         loop {
-            if self.buffer.len() >= READ_AHEAD {
+            if self.buffer.len() >= MAX_READ_AHEAD {
                 std::future::pending::<()>().await;
             }
             if self.fill().await.is_err() {
@@ -167,7 +168,7 @@
 }
 
 /// Serves a connection until it ends.
-pub async fn serve_connection(host: &impl Host, mut stream: TcpStream) {
+pub async fn serve_connection(host: &impl ConnectionHost, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let config = ServiceConfig::new(
         KeepAlive::Timeout(host.limits().idle_timeout),
@@ -177,8 +178,8 @@
         None,
     );
     let (read, write) = stream.split();
-    let mut reader = Reader { read, buffer: BytesMut::new() };
-    let mut writer = Writer {
+    let mut reader = RequestReader { read, buffer: BytesMut::new() };
+    let mut writer = ReplyWriter {
         write,
         codec: Codec::new(config),
         buffer: BytesMut::new(),
@@ -188,7 +189,7 @@
     loop {
         let request = match next_request(host, &mut reader, &mut writer.codec).await {
             Ok(request) => request,
-            Err(NoRequest::Over) => return,
+            Err(NoRequest::Closed) => return,
             Err(NoRequest::Refuse(status, reason)) => {
                 writer.close = true;
                 let refused = Refused { status, reason, retry_after: None };
@@ -199,12 +200,12 @@
         };
         writer.close = host.is_stopping() || !writer.codec.keep_alive();
         writer.finished = false;
-        let gone = tokio::select! {
+        let disconnected = tokio::select! {
             biased;
             () = host.serve(request, &mut writer) => false,
-            () = reader.left() => true,
+            () = reader.disconnected() => true,
         };
-        if gone || !writer.finished {
+        if disconnected || !writer.finished {
             return;
         }
         if writer.close {
@@ -219,8 +220,8 @@
 }
 
 async fn next_request(
-    host: &impl Host,
-    reader: &mut Reader<'_>,
+    host: &impl ConnectionHost,
+    reader: &mut RequestReader<'_>,
     codec: &mut Codec,
 ) -> Result<CallerRequest, NoRequest> {
     let limits = host.limits();
@@ -228,18 +229,18 @@
         tokio::select! {
             biased;
             filled = actix_rt::time::timeout(limits.idle_timeout, reader.fill()) => {
-                filled.map_err(|_| NoRequest::Over)??;
+                filled.map_err(|_| NoRequest::Closed)??;
             }
-            () = host.idle_connections_end() => return Err(NoRequest::Over),
+            () = host.idle_connections_closing() => return Err(NoRequest::Closed),
         }
     }
-    let heading = read_head(reader, codec, limits.header_bytes);
-    let timeout = actix_rt::time::timeout(limits.header_timeout, heading).await;
+    let reading_head = read_head(reader, codec, limits.header_bytes);
+    let timeout = actix_rt::time::timeout(limits.header_timeout, reading_head).await;
     let head = timeout
         .map_err(|_| NoRequest::Refuse(StatusCode::REQUEST_TIMEOUT, RefusalReason::BadRequest))??;
     let arrived = host.clock().now();
     let meta = host.dialect().request(head.headers()).map_err(|_| bad_request())?;
-    let patience = meta.patience.unwrap_or(BODY_PATIENCE).min(BODY_PATIENCE);
+    let patience = meta.patience.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
     let reading = read_body(reader, codec, &head, limits.body_bytes);
     let body = actix_rt::time::timeout(patience, reading)
         .await
@@ -251,7 +252,7 @@
         method: head.method().clone(),
         target,
         host: host_name.unwrap_or_default().to_owned(),
-        headers: end_to_end(host.dialect(), head.headers()),
+        headers: end_to_end_headers(host.dialect(), head.headers()),
         last_event: host.dialect().last_event(head.headers()),
         body,
         meta,
@@ -267,14 +268,14 @@
 }
 
 async fn read_head(
-    reader: &mut Reader<'_>,
+    reader: &mut RequestReader<'_>,
     codec: &mut Codec,
     limit: usize,
 ) -> Result<Request, NoRequest> {
     loop {
         match codec.decode(&mut reader.buffer) {
             Ok(Some(Message::Item(request))) => return Ok(request),
-            Ok(Some(Message::Chunk(_))) | Err(ParseError::Io(_)) => return Err(NoRequest::Over),
+            Ok(Some(Message::Chunk(_))) | Err(ParseError::Io(_)) => return Err(NoRequest::Closed),
             Err(ParseError::TooLarge) => {
                 return Err(too_large(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
             }
@@ -288,7 +289,7 @@
 }
 
 async fn read_body(
-    reader: &mut Reader<'_>,
+    reader: &mut RequestReader<'_>,
     codec: &mut Codec,
     head: &Request,
     limit: usize,
@@ -296,18 +297,18 @@
     if codec.message_type() == actix_http::h1::MessageType::None {
         return Ok(Bytes::new());
     }
-    let announced = head.headers().get("content-length").and_then(|value| value.to_str().ok());
-    let announced: Option<usize> = announced.and_then(|text| text.parse().ok());
-    if announced.is_some_and(|length| length > limit) {
+    let content_length = head.headers().get("content-length").and_then(|value| value.to_str().ok());
+    let content_length: Option<usize> = content_length.and_then(|text| text.parse().ok());
+    if content_length.is_some_and(|length| length > limit) {
         return Err(too_large(StatusCode::PAYLOAD_TOO_LARGE));
     }
-    let mut body = BytesMut::with_capacity(announced.unwrap_or(0).min(READ_SIZE));
+    let mut body = BytesMut::with_capacity(content_length.unwrap_or(0).min(READ_SIZE));
     loop {
         match codec.decode(&mut reader.buffer) {
-            Ok(Some(Message::Chunk(Some(part)))) if body.len() + part.len() > limit => {
+            Ok(Some(Message::Chunk(Some(chunk)))) if body.len() + chunk.len() > limit => {
                 return Err(too_large(StatusCode::PAYLOAD_TOO_LARGE));
             }
-            Ok(Some(Message::Chunk(Some(part)))) => body.extend_from_slice(&part),
+            Ok(Some(Message::Chunk(Some(chunk)))) => body.extend_from_slice(&chunk),
             Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
             Ok(Some(Message::Item(_))) | Err(_) => return Err(bad_request()),
             Ok(None) => reader.fill().await?,
@@ -315,17 +316,24 @@
     }
 }
 
-/// The headers to hand on: all but those of one connection. A key is never shown in diagnostics.
-fn end_to_end(dialect: &dyn Dialect, headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
-    let named = headers.get(CONNECTION).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    let named: Vec<String> =
-        named.split(',').map(|name| name.trim().to_ascii_lowercase()).collect();
-    let hop = |name: &str| HOP_HEADERS.contains(&name) || named.iter().any(|own| own == name);
-    let kept = headers.iter().filter(|(name, _)| !hop(name.as_str()));
-    let copied = kept.map(|(name, value)| {
+/// The headers to forward: all but the hop-by-hop ones. Credentials are marked as sensitive, so that they
+/// do not appear in diagnostics.
+fn end_to_end_headers(
+    dialect: &dyn Dialect,
+    headers: &HeaderMap,
+) -> Vec<(HeaderName, HeaderValue)> {
+    let connection_options =
+        headers.get(CONNECTION).and_then(|value| value.to_str().ok()).unwrap_or_default();
+    let connection_options: Vec<String> =
+        connection_options.split(',').map(|name| name.trim().to_ascii_lowercase()).collect();
+    let is_hop_by_hop = |name: &str| {
+        HOP_BY_HOP_HEADERS.contains(&name) || connection_options.iter().any(|option| option == name)
+    };
+    let kept = headers.iter().filter(|(name, _)| !is_hop_by_hop(name.as_str()));
+    let forwarded = kept.map(|(name, value)| {
         let mut value = value.clone();
         value.set_sensitive(dialect.is_credential(name.as_str()));
         (name.clone(), value)
     });
-    copied.collect()
+    forwarded.collect()
 }
--- a/crates/portrack/src/gateway/requests/job.rs
+++ b/crates/portrack/src/gateway/requests/job.rs
@@ -1,4 +1,4 @@
-//! One request on its path: what it needs, how far it has come, how it ended.
+//! State of a request while it is handled: its requirements, progress and outcome.
 
 use super::caller::{CallerRequest, RefusalReason, Refused};
 use super::timings::Timings;
@@ -18,116 +18,116 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When to come back if all servers are busy.
+/// Retry delay if all servers are busy.
 const BUSY_RETRY: Duration = Duration::from_millis(300);
 
-/// How far a request has come, for the log line of one whose caller leaves in the middle.
+/// Progress of a request, for the log line if its caller disconnects before the end.
 #[derive(Debug, Default)]
 pub struct Progress {
     /// Its route.
     pub route: RefCell<Option<Rc<Route>>>,
     /// The server of the last try.
     pub server: RefCell<Option<Rc<str>>>,
-    /// The server has begun to answer.
+    /// Whether the server has started to respond.
     pub begun: Cell<bool>,
-    /// The organisation whose key it showed.
+    /// The organisation that its key belongs to.
     pub organisation: RefCell<Option<Rc<str>>>,
     /// How the version of its adapter was chosen, at the last try.
     pub version: Cell<Option<VersionChoice>>,
-    /// When it was sent and answered.
+    /// Times of its sends and of the response.
     pub timings: Timings,
-    /// What it waited for at granters.
+    /// Times that it waited for grants.
     pub grant: GrantTimings,
-    /// What its tries have in common, once a server has broken off or it is held back.
-    pub mark: Cell<Option<RequestFingerprint>>,
+    /// Its fingerprint, once a server has broken off or it is held back.
+    pub fingerprint: Cell<Option<RequestFingerprint>>,
 }
 
-/// How a request ended, for logs and metrics.
+/// Outcome of a request, for logs and metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestOutcome {
-    /// A server's answer was handed on whole.
+    /// The complete response of a server was forwarded.
     Answered(u16),
     /// The gateway refused it.
     Refused(Refused),
-    /// The answer broke off after its head.
+    /// The reply was interrupted after its head.
     Broken(String),
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// What one request needs.
+/// State of a request that is being handled.
 pub struct Job<'a> {
     /// The request.
     pub request: &'a CallerRequest,
-    /// Told how far it has come.
+    /// Its progress, for the log.
     pub progress: &'a Progress,
     /// Its route.
     pub route: Rc<Route>,
     /// Its service.
     pub service: Rc<Service>,
-    /// Whose request it is.
+    /// Its authenticated caller.
     pub admitted: AuthenticatedCaller,
-    /// What it has taken of its organisation's quota.
+    /// The units that it has taken from its organisation's quota.
     pub charge: Charge,
-    /// When it must have its final answer.
+    /// Time by which its response must be complete.
     pub deadline: Time,
-    /// Sends so far.
+    /// Number of sends so far.
     pub sends: u32,
-    /// Sends that may have run.
-    pub runs: u32,
+    /// Number of sends after which a server may have run it.
+    pub possible_runs: u32,
     /// Servers tried.
     pub tried: Vec<Rc<str>>,
-    /// Servers that name a limit and have no room within it for this request.
+    /// Servers that announce a rate limit which leaves no room for this request.
     pub servers_at_limit: RefCell<Vec<Rc<str>>>,
     /// The server of the last try.
     pub server: Option<Rc<str>>,
-    /// The last event handed on, to go on behind it.
+    /// The id of the last forwarded event, after which the stream is resumed.
     pub last_event: Option<String>,
-    /// What the last try came to.
+    /// Description of the last failure.
     pub last_failure: String,
-    /// What was known of its adapter when it had to wait or was refused.
+    /// State of its adapter when it had to wait or was refused.
     pub adapter_note: RefCell<String>,
-    /// What its tries have in common, once that was asked for.
-    pub mark: OnceCell<RequestFingerprint>,
-    /// It was held back, and this is its one try to see whether servers still end under it.
+    /// Its fingerprint, computed on first use.
+    pub fingerprint: OnceCell<RequestFingerprint>,
+    /// Whether this is its single trial after a hold, to see whether servers still end while running it.
     pub on_trial: bool,
 }
 
-/// A server chosen for a request.
+/// A server selected for a request.
 pub struct Choice {
     /// The server.
     pub backend: Rc<Backend>,
-    /// The version of the adapter that it must have.
+    /// The adapter version that the server must have.
     pub adapter_version: Option<u64>,
-    /// The slot there, if its service has a dispatcher.
+    /// The slot at the server, if the service has a dispatcher.
     pub slot: Option<SlotGuard>,
-    /// What lets it in there, if arrivals there are granted.
+    /// The grant for the server, if it requires grants.
     pub grant: Option<GrantGuard>,
 }
 
 impl Choice {
-    /// Takes note of how the request ended at the server.
+    /// Records how the request ended at the server.
     pub fn ended(&self, end: SlotEnd) {
         if let Some(slot) = &self.slot {
             slot.ended(end);
         }
     }
 
-    /// The request is being sent.
+    /// Records that the request is being sent.
     pub fn sent(&self, now: Time) {
         if let Some(grant) = &self.grant {
             grant.sent(now);
         }
     }
 
-    /// The server begins to answer.
+    /// Records that the server has started to respond.
     pub fn begun(&self, now: Time) {
         if let Some(grant) = &self.grant {
             grant.begun(now);
         }
     }
 
-    /// Takes note of what became of the grant.
+    /// Records how the grant was used.
     pub fn grant_ended(&self, end: GrantEnd) {
         if let Some(grant) = &self.grant {
             grant.ended(end);
@@ -136,39 +136,40 @@
 }
 
 impl Job<'_> {
-    /// Its rank, 0 highest: its organisation's, or its route's.
+    /// Its priority, 0 is highest: its organisation's, or its route's.
     pub fn priority(&self) -> u8 {
         let organisation = self.admitted.organisation.as_ref();
-        organisation.and_then(|all| all.priority).unwrap_or(self.route.priority)
+        organisation.and_then(|organisation| organisation.priority).unwrap_or(self.route.priority)
     }
 
-    /// The regions that it may be served in.
+    /// The constraints on the regions in which it may be served.
     pub(in crate::gateway) fn region_bounds(&self) -> RegionConstraints<'_> {
         let organisation = self.admitted.organisation.as_ref();
         RegionConstraints {
             route: self.route.allowed_regions.as_ref(),
-            organisation: organisation.and_then(|all| all.allowed_regions.as_ref()),
+            organisation: organisation
+                .and_then(|organisation| organisation.allowed_regions.as_ref()),
         }
     }
 
-    /// True if a server is not to be chosen any more: it was tried, or has no room.
+    /// Whether a server must not be selected any more: it was tried, or is at its limit.
     pub fn is_excluded(&self, server: &Rc<str>) -> bool {
         self.tried.contains(server) || self.servers_at_limit.borrow().contains(server)
     }
 
-    /// The adapter asked for, if any.
+    /// The requested adapter, if any.
     pub fn adapter(&self) -> Option<AdapterKey> {
         let model = self.request.meta.model.as_ref()?;
         let adapter = model.adapter.clone()?;
         Some(AdapterKey { model: model.model.clone(), adapter })
     }
 
-    /// What its tries have in common.
-    pub fn mark(&self) -> RequestFingerprint {
-        *self.mark.get_or_init(|| self.marked())
+    /// Its fingerprint, which is the same for all its retries.
+    pub fn fingerprint(&self) -> RequestFingerprint {
+        *self.fingerprint.get_or_init(|| self.compute_fingerprint())
     }
 
-    fn marked(&self) -> RequestFingerprint {
+    fn compute_fingerprint(&self) -> RequestFingerprint {
         let request = self.request;
         let caller = match &self.admitted.organisation {
             Some(organisation) => CallerIdentity::Organisation(&organisation.name),
@@ -183,18 +184,19 @@
         })
     }
 
-    /// The model asked for, if the service has models.
+    /// The requested model, if the service has models.
     pub fn model(&self) -> Option<&ModelRequest> {
         self.service.engine.as_ref()?;
         self.request.meta.model.as_ref()
     }
 
     pub(in crate::gateway) fn may_have_run(&self) -> bool {
-        self.runs > 0
+        self.possible_runs > 0
     }
 
-    /// The end when no other server is to be tried; `after` tells when one takes work again, if that is known.
-    pub(in crate::gateway) fn out_of_tries(
+    /// The outcome if no other server is to be tried; `after` is the time until one accepts requests again,
+    /// if known.
+    pub(in crate::gateway) fn no_server_left(
         &self,
         reason: RefusalReason,
         after: Option<Duration>,
@@ -206,7 +208,7 @@
     }
 }
 
-/// The end of a request whose time is over: not run only if nothing was ever sent.
+/// The refusal of a request at its deadline: as not run only if it was never sent.
 pub(in crate::gateway) fn timed_out(job: &Job<'_>) -> Refused {
     match job.server.is_some() {
         true => Refused::new(RefusalReason::TimedOut, None),
@@ -214,25 +216,25 @@
     }
 }
 
-/// A request's end with what is worth logging of it.
+/// Outcome of a request, with the details to log.
 #[derive(Debug)]
 pub struct RequestRecord {
-    /// How it ended.
+    /// The outcome.
     pub end: RequestOutcome,
     /// Its route.
     pub route: Option<Rc<Route>>,
     /// The server of the last try.
     pub server: Option<Rc<str>>,
-    /// Sends.
+    /// Number of sends.
     pub sends: u32,
-    /// What the last failed try came to.
+    /// Description of the last failure.
     pub last_failure: String,
-    /// What was known of its adapter when it had to wait or was refused.
+    /// State of its adapter when it had to wait or was refused.
     pub adapter_note: String,
 }
 
 impl RequestRecord {
-    /// A request that was refused before it had a route.
+    /// Record of a request that was refused before its route was known.
     pub fn refused(refused: Refused) -> Self {
         Self {
             end: RequestOutcome::Refused(refused),
@@ -244,7 +246,7 @@
         }
     }
 
-    /// A request that was refused before it had a server.
+    /// Record of a request that was refused before a server was selected.
     pub fn refused_on(refused: Refused, route: Rc<Route>) -> Self {
         Self { route: Some(route), ..Self::refused(refused) }
     }
--- a/crates/portrack/src/gateway/requests/relay.rs
+++ b/crates/portrack/src/gateway/requests/relay.rs
@@ -1,4 +1,4 @@
-//! Hands a server's answer on to the caller.
+//! Forwards responses of servers to the caller.
 
 use super::caller::{ReplyHead, ReplySink};
 use super::events::EventSplitter;
@@ -9,154 +9,158 @@
 use crate::gateway::fleet::config::{Route, RouteKind};
 use actix_http::StatusCode;
 
-/// How handing an answer on went.
+/// Outcome of forwarding a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RelayEnd {
-    /// The caller has all of it.
-    Whole(u16),
-    /// The server failed the request, which may be sent elsewhere.
+pub enum RelayOutcome {
+    /// The caller has received the complete response.
+    Complete(u16),
+    /// The server failed the request, which may be sent to another one.
     Failed(u16),
-    /// The server's answer is none.
-    Unusable(String),
-    /// The server's answer broke off.
-    BrokenOff(ExchangeError),
-    /// The caller is gone.
+    /// The response is not acceptable.
+    Invalid(String),
+    /// The response was interrupted.
+    Interrupted(ExchangeError),
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// One answer to a caller, possibly pieced together from several servers.
+/// One reply to a caller, possibly assembled from the responses of several servers.
 #[derive(Debug)]
 pub struct Relay {
-    begun: bool,
+    started: bool,
     events: Option<EventSplitter>,
-    /// Bytes of answers' bodies that servers sent.
-    received: usize,
+    /// Bytes of response bodies received from servers since the last [`Self::take_received_bytes`].
+    received_bytes: usize,
 }
 
 impl Relay {
-    /// A relay for a request on this route.
+    /// Creates a relay for a request on a route.
     pub fn new(route: &Route) -> Self {
         let resumable = route.kind == RouteKind::Stream && route.resumable;
-        Self { begun: false, events: resumable.then(EventSplitter::default), received: 0 }
+        Self { started: false, events: resumable.then(EventSplitter::default), received_bytes: 0 }
     }
 
-    /// True if the caller has the head of an answer.
-    pub fn begun(&self) -> bool {
-        self.begun
+    /// Whether the head of a reply has been sent to the caller.
+    pub fn has_started(&self) -> bool {
+        self.started
     }
 
-    /// Takes the count of bytes that came since the last look.
-    pub fn take_received(&mut self) -> usize {
-        std::mem::take(&mut self.received)
+    /// Takes the number of bytes received since the last call.
+    pub fn take_received_bytes(&mut self) -> usize {
+        std::mem::take(&mut self.received_bytes)
     }
 
-    /// The id of the last event handed on.
+    /// The id of the last forwarded event.
     pub fn last_event(&self) -> Option<&str> {
         self.events.as_ref().and_then(EventSplitter::last_id)
     }
 
-    /// Hands an answer on; `heard` is told of each part that comes.
-    pub async fn answer(
+    /// Forwards a response; `on_chunk` is called for each chunk that arrives.
+    pub async fn forward(
         &mut self,
         job: &Job<'_>,
-        mut exchange: ServerResponse,
+        mut response: ServerResponse,
         sink: &mut impl ReplySink,
-        heard: impl Fn(),
-    ) -> RelayEnd {
-        let status = exchange.head.status;
-        if status.is_success() && !exchange.head.meta.signed {
-            return RelayEnd::Unusable("unsigned answer".into());
+        on_chunk: impl Fn(),
+    ) -> RelayOutcome {
+        let status = response.head.status;
+        if status.is_success() && !response.head.meta.signed {
+            return RelayOutcome::Invalid("unsigned response".into());
         }
-        if self.begun && !status.is_success() {
-            return RelayEnd::Unusable(format!("status {status} while resuming"));
+        if self.started && !status.is_success() {
+            return RelayOutcome::Invalid(format!("status {status} while resuming"));
         }
-        if promises_not_run(status) && !job.route.repeatable() {
-            return RelayEnd::Unusable(format!(
-                "status {status} without a word that it was not run"
+        if implies_not_run(status) && !job.route.repeatable() {
+            return RelayOutcome::Invalid(format!(
+                "status {status} without confirmation that the request was not run"
             ));
         }
-        let again = job.route.repeatable() && job.runs < job.route.attempts;
-        if status.is_server_error() && again {
-            if exchange.collect().await.is_ok() {
-                exchange.finish();
+        let may_retry = job.route.repeatable() && job.possible_runs < job.route.attempts;
+        if status.is_server_error() && may_retry {
+            if response.collect().await.is_ok() {
+                response.finish();
             }
-            return RelayEnd::Failed(status.as_u16());
+            return RelayOutcome::Failed(status.as_u16());
         }
         if job.route.kind == RouteKind::Stream && status.is_success() {
-            return self.stream(exchange, sink, heard).await;
+            return self.forward_stream(response, sink, on_chunk).await;
         }
-        self.whole(exchange, sink).await
+        self.forward_collected(response, sink).await
     }
 
-    async fn whole(&mut self, mut exchange: ServerResponse, sink: &mut impl ReplySink) -> RelayEnd {
-        let body = match exchange.collect().await {
+    async fn forward_collected(
+        &mut self,
+        mut response: ServerResponse,
+        sink: &mut impl ReplySink,
+    ) -> RelayOutcome {
+        let body = match response.collect().await {
             Ok(body) => body,
-            Err(error) => return RelayEnd::BrokenOff(error),
+            Err(error) => return RelayOutcome::Interrupted(error),
         };
-        self.received += body.len();
-        let status = exchange.head.status.as_u16();
-        let head = reply_head(&exchange.head, Some(body.len() as u64));
-        exchange.finish();
-        self.begun = true;
+        self.received_bytes += body.len();
+        let status = response.head.status.as_u16();
+        let head = reply_head(&response.head, Some(body.len() as u64));
+        response.finish();
+        self.started = true;
         let written = async {
             sink.head(head).await?;
-            sink.part(body).await?;
+            sink.chunk(body).await?;
             sink.finish().await
         };
         match written.await {
-            Ok(()) => RelayEnd::Whole(status),
-            Err(_) => RelayEnd::CallerGone,
+            Ok(()) => RelayOutcome::Complete(status),
+            Err(_) => RelayOutcome::CallerGone,
         }
     }
 
-    async fn stream(
+    async fn forward_stream(
         &mut self,
-        mut exchange: ServerResponse,
+        mut response: ServerResponse,
         sink: &mut impl ReplySink,
-        heard: impl Fn(),
-    ) -> RelayEnd {
-        let status = exchange.head.status.as_u16();
-        if !self.begun {
-            let head = reply_head(&exchange.head, None);
-            self.begun = true;
+        on_chunk: impl Fn(),
+    ) -> RelayOutcome {
+        let status = response.head.status.as_u16();
+        if !self.started {
+            let head = reply_head(&response.head, None);
+            self.started = true;
             if sink.head(head).await.is_err() {
-                return RelayEnd::CallerGone;
+                return RelayOutcome::CallerGone;
             }
         }
         loop {
-            let part = match exchange.part().await {
-                Ok(Some(part)) => part,
+            let chunk = match response.next_chunk().await {
+                Ok(Some(chunk)) => chunk,
                 Ok(None) => break,
                 Err(error) => {
                     self.events.as_mut().map(EventSplitter::drop_partial);
-                    return RelayEnd::BrokenOff(error);
+                    return RelayOutcome::Interrupted(error);
                 }
             };
-            heard();
-            self.received += part.len();
-            let whole = match self.events.as_mut() {
-                Some(events) => events.push(&part),
-                None => Some(part),
+            on_chunk();
+            self.received_bytes += chunk.len();
+            let complete = match self.events.as_mut() {
+                Some(events) => events.push(&chunk),
+                None => Some(chunk),
             };
-            let Some(whole) = whole else { continue };
-            if sink.part(whole).await.is_err() {
-                return RelayEnd::CallerGone;
+            let Some(complete) = complete else { continue };
+            if sink.chunk(complete).await.is_err() {
+                return RelayOutcome::CallerGone;
             }
         }
-        exchange.finish();
-        let rest = self.events.as_mut().map(EventSplitter::rest).unwrap_or_default();
-        if !rest.is_empty() && sink.part(rest).await.is_err() {
-            return RelayEnd::CallerGone;
+        response.finish();
+        let rest = self.events.as_mut().map(EventSplitter::take_rest).unwrap_or_default();
+        if !rest.is_empty() && sink.chunk(rest).await.is_err() {
+            return RelayOutcome::CallerGone;
         }
         match sink.finish().await {
-            Ok(()) => RelayEnd::Whole(status),
-            Err(_) => RelayEnd::CallerGone,
+            Ok(()) => RelayOutcome::Complete(status),
+            Err(_) => RelayOutcome::CallerGone,
         }
     }
 }
 
-/// Statuses by which a caller may believe that its request was not run.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Statuses from which a caller may conclude that its request was not run.
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
--- a/crates/portrack/src/gateway/requests/retries.rs
+++ b/crates/portrack/src/gateway/requests/retries.rs
@@ -1,79 +1,80 @@
-//! The retry budget of each service, counted in a sliding window.
+//! Retry budgets of services, in a sliding window.
 
 use crate::types::Time;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Parts of the window that are counted apart.
-const PARTS: u64 = 10;
-/// Of the fleet's budget, this share is used; the rest covers uneven shares and late counts.
-const USED_SHARE: f64 = 0.8;
+/// Number of slots into which the window is divided.
+const WINDOW_SLOTS: u64 = 10;
+/// Share of the fleet's budget that is used; the rest covers uneven shares and delayed counts.
+const BUDGET_SHARE: f64 = 0.8;
 
-/// The fleet's bounds.
+/// Bounds on the retries of the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// Retries as a share of requests.
+    /// Maximum retries as a share of requests.
     pub ratio: f64,
-    /// Retries allowed besides, over all daemons.
+    /// Additional retries in a window, across all daemons.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Count {
-    part: u64,
+struct SlotCounts {
+    slot: u64,
     requests: u32,
     retries: u32,
 }
 
-/// What this daemon may repeat.
+/// This daemon's retry budgets, by service.
 #[derive(Debug, Clone)]
 pub struct RetryBudgets {
     bounds: RetryBounds,
-    services: HashMap<Rc<str>, VecDeque<Count>>,
+    services: HashMap<Rc<str>, VecDeque<SlotCounts>>,
 }
 
 impl RetryBudgets {
-    /// Budgets that are all full.
+    /// Creates full budgets.
     pub fn new(bounds: RetryBounds) -> Self {
         Self { bounds, services: HashMap::new() }
     }
 
-    fn part(&self, now: Time) -> u64 {
-        let part = (self.bounds.window.as_millis() as u64 / PARTS).max(1);
-        now.0 / part
+    fn slot(&self, now: Time) -> u64 {
+        let slot = (self.bounds.window.as_millis() as u64 / WINDOW_SLOTS).max(1);
+        now.0 / slot
     }
 
-    fn counts(&mut self, now: Time, service: &Rc<str>) -> &mut VecDeque<Count> {
-        let part = self.part(now);
+    fn counts(&mut self, now: Time, service: &Rc<str>) -> &mut VecDeque<SlotCounts> {
+        let slot = self.slot(now);
         let counts = self.services.entry(service.clone()).or_default();
-        while counts.front().is_some_and(|count| count.part + PARTS < part) {
+        while counts.front().is_some_and(|count| count.slot + WINDOW_SLOTS < slot) {
             counts.pop_front();
         }
-        if counts.back().is_none_or(|count| count.part != part) {
-            counts.push_back(Count { part, ..Count::default() });
+        if counts.back().is_none_or(|count| count.slot != slot) {
+            counts.push_back(SlotCounts { slot, ..SlotCounts::default() });
         }
         counts
     }
 
     /// Counts a request for a service.
-    pub fn note_request(&mut self, now: Time, service: &Rc<str>) {
+    pub fn record_request(&mut self, now: Time, service: &Rc<str>) {
         if let Some(count) = self.counts(now, service).back_mut() {
             count.requests += 1;
         }
     }
 
-    /// Takes one retry, if this daemon's part of the budget has one. `daemons` share the slack.
-    pub fn take(&mut self, now: Time, service: &Rc<str>, daemons: usize) -> bool {
+    /// Takes one retry if this daemon's share of the budget allows it. `daemons` is the number of daemons
+    /// that share the slack.
+    pub fn try_take(&mut self, now: Time, service: &Rc<str>, daemons: usize) -> bool {
         let bounds = self.bounds;
         let counts = self.counts(now, service);
         let requests: u32 = counts.iter().map(|count| count.requests).sum();
         let retries: u32 = counts.iter().map(|count| count.retries).sum();
         let slack = bounds.slack / daemons.max(1) as f64;
-        let most = (bounds.ratio * f64::from(requests) + slack) * USED_SHARE;
-        if f64::from(retries) + 1.0 > most {
+        let limit = (bounds.ratio * f64::from(requests) + slack) * BUDGET_SHARE;
+        if f64::from(retries) + 1.0 > limit {
             return false;
         }
         if let Some(count) = counts.back_mut() {
--- a/crates/portrack/src/gateway/requests/routes.rs
+++ b/crates/portrack/src/gateway/requests/routes.rs
@@ -1,18 +1,18 @@
-//! Which route a request takes.
+//! Routing of requests by host and path prefix.
 
 use crate::gateway::fleet::config::{FleetConfig, Route, Target};
 use std::collections::HashMap;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Routes by host, longest prefix first.
+/// Routes by host, sorted by descending prefix length.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, Vec<Rc<Route>>>,
 }
 
 impl RouteTable {
-    /// The table of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(config: &FleetConfig) -> Self {
         let mut hosts: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
         for route in &config.routes {
@@ -24,22 +24,22 @@
         Self { hosts }
     }
 
-    /// The route of a host and path: the longest prefix that begins the path.
+    /// Finds the route of a host with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let host = without_port(host).to_ascii_lowercase();
+        let host = strip_port(host).to_ascii_lowercase();
         let routes = self.hosts.get(&host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 }
 
-fn without_port(host: &str) -> &str {
+fn strip_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
     }
 }
 
-/// The service that a request goes to; the same request always goes to the same one.
+/// Picks the target of a request by weight; the same request id always gets the same target.
 pub fn pick_target<'a>(route: &'a Route, request_id: &str) -> Option<&'a Target> {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     if total == 0 {
@@ -48,8 +48,8 @@
     let mut point = xxh3_64(request_id.as_bytes()) % total;
     route.targets.iter().find(|target| {
         let weight = u64::from(target.weight);
-        let hit = point < weight;
+        let selected = point < weight;
         point = point.saturating_sub(weight);
-        hit
+        selected
     })
 }
--- a/crates/portrack/src/gateway/requests/host.rs
+++ b/crates/portrack/src/gateway/requests/serving.rs
@@ -1,7 +1,7 @@
-//! The daemon as its callers' connections see it.
+//! Serves the connections of callers: accepting, refusals while stopping, metrics and the request log.
 
 use super::caller::{CallerRequest, RefusalReason, Refused};
-use super::ingress::{Host, Writer, serve_connection};
+use super::ingress::{ConnectionHost, ReplyWriter, serve_connection};
 use super::job::{Progress, RequestOutcome, RequestRecord};
 use crate::gateway::admission::OrganisationHash;
 use crate::gateway::daemon::GatewayDaemon;
@@ -13,27 +13,27 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A listener that cannot accept waits this long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A stream that comes later than this after a stop was asked for is refused: it may not end in
-/// time.
-const LAST_STREAM: Duration = Duration::from_millis(2_700);
-/// The same for other requests, before the end of the time to stop.
-const LAST_SHORT: Duration = Duration::from_millis(2_500);
-/// When to come back to another daemon.
+/// Streams that arrive later than this after the start of a stop are refused, since they may not finish
+/// in time.
+const STREAM_CUTOFF: Duration = Duration::from_millis(2_700);
+/// Other requests are refused if they arrive within this time before the end of the stop.
+const REQUEST_MARGIN: Duration = Duration::from_millis(2_500);
+/// Retry delay of refused callers, which are to turn to another daemon.
 const STOPPING_RETRY: Duration = Duration::from_millis(20);
 
-/// Counts and logs a request, also one whose caller leaves in the middle.
-struct Account<'a> {
+/// Counts and logs a request on drop, also if its caller disconnects before the end.
+struct RequestAccounting<'a> {
     daemon: &'a GatewayDaemon,
     request: &'a CallerRequest,
     progress: Progress,
-    served: Option<RequestRecord>,
+    record: Option<RequestRecord>,
 }
 
 impl GatewayDaemon {
-    /// Accepts callers, for ever.
+    /// Accepts connections of callers forever.
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -41,30 +41,30 @@
                     let daemon = self.clone();
                     actix_rt::spawn(async move { serve_connection(&*daemon, stream).await });
                 }
-                Err(_) => actix_rt::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 }
 
 impl GatewayDaemon {
-    /// True if a request came so late in a stop that it may not be finished.
+    /// Whether a request arrived so late in a stop that it may not finish in time.
     fn is_too_late_for(&self, request: &CallerRequest) -> bool {
         let Some(since) = self.stopping_since.get() else { return false };
         if self.takes_no_more.get() {
             return true;
         }
-        let passed = self.now().since(since);
-        let within = Duration::from_secs_f64(self.settings.bounds.stop_within_s);
-        let last = match request.meta.model {
-            Some(_) => LAST_STREAM,
-            None => within.saturating_sub(LAST_SHORT),
+        let elapsed = self.now().since(since);
+        let stop_within = Duration::from_secs_f64(self.settings.bounds.stop_within_s);
+        let cutoff = match request.meta.model {
+            Some(_) => STREAM_CUTOFF,
+            None => stop_within.saturating_sub(REQUEST_MARGIN),
         };
-        passed >= last
+        elapsed >= cutoff
     }
 }
 
-impl Host for GatewayDaemon {
+impl ConnectionHost for GatewayDaemon {
     fn limits(&self) -> CallerLimits {
         let view = self.handler.view.borrow();
         view.config().map(|config| config.limits.clone()).unwrap_or_default()
@@ -82,34 +82,34 @@
         self.stopping()
     }
 
-    async fn idle_connections_end(&self) {
+    async fn idle_connections_closing(&self) {
         if !self.closing_idle.get() {
             self.closing.notified().await;
         }
     }
 
-    async fn serve(&self, request: CallerRequest, sink: &mut Writer<'_>) {
-        let mut account = Account {
+    async fn serve(&self, request: CallerRequest, sink: &mut ReplyWriter<'_>) {
+        let mut accounting = RequestAccounting {
             daemon: self,
             request: &request,
             progress: Progress::default(),
-            served: None,
+            record: None,
         };
         self.in_flight.set(self.in_flight.get() + 1);
-        let served = match self.is_too_late_for(&request) {
+        let record = match self.is_too_late_for(&request) {
             true => {
                 RequestRecord::refused(Refused::new(RefusalReason::Stopping, Some(STOPPING_RETRY)))
             }
-            false => self.handler.serve(&request, sink, &account.progress).await,
+            false => self.handler.serve(&request, sink, &accounting.progress).await,
         };
-        if let RequestOutcome::Refused(refused) = &served.end {
+        if let RequestOutcome::Refused(refused) = &record.end {
             let _ = sink.refuse(refused).await;
         }
-        account.served = Some(served);
+        accounting.record = Some(record);
     }
 }
 
-impl Drop for Account<'_> {
+impl Drop for RequestAccounting<'_> {
     fn drop(&mut self) {
         let daemon = self.daemon;
         daemon.in_flight.set(daemon.in_flight.get().saturating_sub(1));
@@ -124,18 +124,18 @@
         if self.progress.version.get().is_some_and(|version| version.is_older()) {
             daemon.metrics.older_versions.inc();
         }
-        let Some(served) = &self.served else {
-            self.log_left(took);
+        let Some(record) = &self.record else {
+            self.log_caller_gone(took);
             return;
         };
-        daemon.metrics.resends.inc_by(served.sends.saturating_sub(1).into());
-        self.log(served, end, took);
+        daemon.metrics.resends.inc_by(record.sends.saturating_sub(1).into());
+        self.log(record, end, took);
     }
 }
 
-impl Account<'_> {
-    /// The caller left in the middle.
-    fn log_left(&self, took: Duration) {
+impl RequestAccounting<'_> {
+    /// Logs a request whose caller disconnected before the end.
+    fn log_caller_gone(&self, took: Duration) {
         let route = self.progress.route.borrow();
         let server = self.progress.server.borrow();
         let version = VersionFields::from(self.progress.version.get());
@@ -157,21 +157,25 @@
         );
     }
 
-    /// The organisation whose key the request showed; empty if there is none.
+    /// The organisation that the request's key belongs to; empty if there is none.
     fn organisation(&self) -> Rc<str> {
         self.progress.organisation.borrow().clone().unwrap_or_default()
     }
 
-    /// What the fleet sends of the request's organisation, in percent of its limit; -1 if unknown.
+    /// The fleet's traffic of the request's organisation in percent of its quota; -1 if unknown.
     fn quota_used_percent(&self) -> i64 {
         let organisation = self.progress.organisation.borrow();
-        let mark = organisation.as_ref().map(|name| OrganisationHash::of(name));
-        mark.map_or(-1, |mark| self.daemon.handler.quotas.used_percent(mark))
+        let hash = organisation.as_ref().map(|name| OrganisationHash::of(name));
+        hash.map_or(-1, |hash| self.daemon.handler.quotas.used_percent(hash))
     }
 
-    /// What the request's tries have in common; empty if no server has broken off under it.
-    fn mark(&self) -> String {
-        self.progress.mark.get().map(|mark| mark.to_string()).unwrap_or_default()
+    /// The request's fingerprint; empty unless a server has broken off or the request is held back.
+    fn fingerprint(&self) -> String {
+        self.progress
+            .fingerprint
+            .get()
+            .map(|fingerprint| fingerprint.to_string())
+            .unwrap_or_default()
     }
 
     fn kind(&self) -> &'static str {
@@ -185,7 +189,7 @@
     }
 
     fn end(&self) -> &'static str {
-        match self.served.as_ref().map(|served| &served.end) {
+        match self.record.as_ref().map(|record| &record.end) {
             Some(RequestOutcome::Answered(status)) if *status < 400 => "answered",
             Some(RequestOutcome::Answered(_)) => "answered_failure",
             Some(RequestOutcome::Refused(Refused { reason, .. })) => reason.name(),
@@ -194,22 +198,22 @@
         }
     }
 
-    fn log(&self, served: &RequestRecord, end: &'static str, took: Duration) {
+    fn log(&self, record: &RequestRecord, end: &'static str, took: Duration) {
         let request = self.request;
-        let status = match &served.end {
+        let status = match &record.end {
             RequestOutcome::Answered(status) => *status,
             RequestOutcome::Refused(refused) => refused.status.as_u16(),
             RequestOutcome::Broken(_) | RequestOutcome::CallerGone => 0,
         };
-        let retry_after = match &served.end {
+        let retry_after = match &record.end {
             RequestOutcome::Refused(refused) => refused.retry_after,
             _ => None,
         };
-        let broken = match &served.end {
+        let broken = match &record.end {
             RequestOutcome::Broken(why) => why.as_str(),
             _ => "",
         };
-        let route = served.route.as_ref().map_or("", |route| &*route.name);
+        let route = record.route.as_ref().map_or("", |route| &*route.name);
         let model = request.meta.model.as_ref();
         let timings = &self.progress.timings;
         let version = VersionFields::from(self.progress.version.get());
@@ -219,9 +223,9 @@
             route = route,
             end = end,
             status = status,
-            server = served.server.as_deref().unwrap_or_default(),
+            server = record.server.as_deref().unwrap_or_default(),
             adapter = adapter,
-            adapter_state = served.adapter_note.as_str(),
+            adapter_state = record.adapter_note.as_str(),
             held_version = version.held,
             demanded_version = version.demanded,
             newest_version = version.newest,
@@ -233,10 +237,10 @@
             proof_age_ms = self.daemon.proof_age_ms(),
             quota_used_percent = self.quota_used_percent(),
             retry_after_ms = retry_after.map_or(-1, |after| after.as_millis() as i64),
-            sends = served.sends,
-            failure = served.last_failure.as_str(),
+            sends = record.sends,
+            failure = record.last_failure.as_str(),
             broken = broken,
-            mark = self.mark().as_str(),
+            mark = self.fingerprint().as_str(),
             prompt_tokens = model.map_or(0, |model| model.prompt_tokens),
             granter = self.progress.grant.granter_name().as_str(),
             grant_wait_ms = self.progress.grant.waited_ms(),
--- a/crates/portrack/tests/gateway/answers.rs
+++ b/crates/portrack/tests/gateway/answers.rs
@@ -185,6 +185,6 @@
         prop_assert_eq!(&out[..], &wire[..31]);
         prop_assert_eq!(events.last_id(), Some("2"));
         events.drop_partial();
-        prop_assert_eq!(events.rest(), Bytes::new());
+        prop_assert_eq!(events.take_rest(), Bytes::new());
     }
 }
--- a/crates/portrack/tests/gateway/retries.rs
+++ b/crates/portrack/tests/gateway/retries.rs
@@ -12,7 +12,7 @@
 }
 
 fn taken(retries: &mut RetryBudgets, now: u64, service: &Rc<str>, daemons: usize) -> usize {
-    (0..1_000).filter(|_| retries.take(Time(now), service, daemons)).count()
+    (0..1_000).filter(|_| retries.try_take(Time(now), service, daemons)).count()
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let mut retries = retries();
     let (busy, idle): (Rc<str>, Rc<str>) = ("busy".into(), "idle".into());
     for _ in 0..100 {
-        retries.note_request(Time(5), &busy);
+        retries.record_request(Time(5), &busy);
     }
     assert_eq!(taken(&mut retries, 10, &busy, 10), 20);
     assert_eq!(taken(&mut retries, 10, &idle, 10), 4);
@@ -41,9 +41,9 @@
     let mut times = Vec::new();
     for now in (0..60_000).step_by(20) {
         if now % 100 == 0 {
-            retries.note_request(Time(now), &service);
+            retries.record_request(Time(now), &service);
         }
-        if retries.take(Time(now), &service, 1) {
+        if retries.try_take(Time(now), &service, 1) {
             times.push(now);
         }
     }
