--- a/crates/portrack/src/gateway/connections/mod.rs
+++ b/crates/portrack/src/gateway/connections/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 connections to backend servers: connection pool, response heads and bodies.
 //!
-//! Input are bytes; output are responses, or an error that tells whether the request may have run. A
+//! Input is bytes; output is responses, or an error that tells whether the request may have run. A
 //! connection with unread bytes is never reused.
 
 pub(in crate::gateway) mod body;
--- a/crates/portrack/src/gateway/dispatch/dispatcher.rs
+++ b/crates/portrack/src/gateway/dispatch/dispatcher.rs
@@ -149,8 +149,8 @@
 impl Dispatcher {
     /// Sets the servers that currently accept requests.
     pub fn set_servers(&mut self, now: Time, servers: Vec<ServerSlots>) {
-        self.health.retain(|mark, _| servers.iter().any(|server| server.server == *mark));
-        self.limits.retain(|mark, _| servers.iter().any(|server| server.server == *mark));
+        self.health.retain(|hash, _| servers.iter().any(|server| server.server == *hash));
+        self.limits.retain(|hash, _| servers.iter().any(|server| server.server == *hash));
         for server in &servers {
             let bucket = self.limits.entry(server.server).or_default();
             bucket.set(now, server.limit);
--- a/crates/portrack/src/gateway/requests/handler.rs
+++ b/crates/portrack/src/gateway/requests/handler.rs
@@ -334,20 +334,20 @@
     /// Checks whether a request may be sent now: the state of the server and of the request may have changed
     /// while a connection was opened.
     fn check_before_send(&self, job: &Job<'_>, choice: &Choice) -> Result<(), NotRunReason> {
-        let (backend, mark) = (&choice.backend, choice.backend.incarnation_hash());
+        let (backend, hash) = (&choice.backend, choice.backend.incarnation_hash());
         if !self.view.borrow().accepts_requests(self.clock.now(), &backend.id) {
             return Err(NotRunReason::Closed);
         }
         if self.held_for(job).is_some() {
             return Err(NotRunReason::HeldBack);
         }
-        if self.backpressure.backoff_remaining(mark).is_some() {
+        if self.backpressure.backoff_remaining(hash).is_some() {
             return Err(NotRunReason::Resting);
         }
         if !self.has_required_grant(choice) {
             return Err(NotRunReason::Ungranted);
         }
-        self.backpressure.sent(mark);
+        self.backpressure.sent(hash);
         Ok(())
     }
 
--- a/crates/portrack/src/gateway/requests/mod.rs
+++ b/crates/portrack/src/gateway/requests/mod.rs
@@ -1,6 +1,6 @@
 //! Handling of a request, from the caller's socket to its final response.
 //!
-//! Input are requests as bytes; output is the response of a server as it arrives, or a refusal with a
+//! Input is requests as bytes; output is the response of a server as it arrives, or a refusal with a
 //! retry delay. A request that must not be repeated is sent to a second server only if the first one
 //! certainly did not run it, and a refusal that says "not run" is always true.
 
--- a/crates/portrack/tests/gateway/dispatch.rs
+++ b/crates/portrack/tests/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! The slots of a small service, given out by one daemon.
+//! Tests of the dispatcher of a small service.
 
 use portrack::Time;
 use portrack::gateway::{
@@ -31,75 +31,80 @@
     dispatcher
 }
 
-/// A server with one slot that has all the requests it may have: 0 and 1.
-fn full() -> Dispatcher {
+/// A dispatcher with one server of one slot, which has reached its capacity with requests 0 and 1.
+fn full_dispatcher() -> Dispatcher {
     let mut dispatcher = dispatcher(1, 1);
     for number in 0..2 {
-        assert_eq!(granted(&dispatcher.ask(Time(0), from(1), ask(number, 1, 300))), [0]);
+        assert_eq!(granted_servers(&dispatcher.ask(Time(0), from(1), ask(number, 1, 300))), [0]);
     }
     dispatcher
 }
 
-fn granted(orders: &[SlotReply]) -> Vec<u32> {
-    let granted = orders.iter().filter_map(|(_, answer)| match answer {
+fn granted_servers(replies: &[SlotReply]) -> Vec<u32> {
+    let granted_servers = replies.iter().filter_map(|(_, answer)| match answer {
         SlotAnswer::Granted(server) => Some(*server),
         SlotAnswer::Waits | SlotAnswer::Refused(_) => None,
     });
-    granted.collect()
+    granted_servers.collect()
 }
 
 #[test]
-fn requests_are_spread_evenly_and_no_server_gets_much_more_than_its_slots() {
+fn requests_are_spread_evenly_up_to_the_capacity() {
     let mut dispatcher = dispatcher(3, 6);
     let mut taken = BTreeMap::<u32, usize>::new();
     for number in 0..80 {
-        let orders = dispatcher.ask(Time(0), from(1), ask(number, 1, OBJECTIVE_MS));
-        granted(&orders).into_iter().for_each(|server| *taken.entry(server).or_default() += 1);
+        let replies = dispatcher.ask(Time(0), from(1), ask(number, 1, OBJECTIVE_MS));
+        granted_servers(&replies)
+            .into_iter()
+            .for_each(|server| *taken.entry(server).or_default() += 1);
     }
     assert_eq!(taken.into_values().collect::<Vec<_>>(), [15, 15, 15], "2.6 times 6 slots");
 }
 
 #[test]
-fn who_waits_has_its_turn_when_a_request_ends_the_most_urgent_first() {
-    let mut dispatcher = full();
+fn the_most_urgent_waiting_request_gets_the_next_free_slot() {
+    let mut dispatcher = full_dispatcher();
     assert_eq!(dispatcher.ask(Time(0), from(1), ask(2, 1, 300)), [(id(2), SlotAnswer::Waits)]);
     assert_eq!(dispatcher.ask(Time(5), from(1), ask(3, 1, 200)), [(id(3), SlotAnswer::Waits)]);
-    let turn = dispatcher.ended(Time(50), id(1), SlotEnd::Answered);
-    assert_eq!(turn, [(id(3), SlotAnswer::Granted(0))]);
-    let turn = dispatcher.ended(Time(100), id(0), SlotEnd::Answered);
-    assert_eq!(turn, [(id(2), SlotAnswer::Granted(0))]);
+    let replies = dispatcher.ended(Time(50), id(1), SlotEnd::Answered);
+    assert_eq!(replies, [(id(3), SlotAnswer::Granted(0))]);
+    let replies = dispatcher.ended(Time(100), id(0), SlotEnd::Answered);
+    assert_eq!(replies, [(id(2), SlotAnswer::Granted(0))]);
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once_and_callers_come_back_one_after_the_other() {
+fn requests_that_cannot_be_in_time_are_refused_with_staggered_retries() {
     let mut dispatcher = dispatcher(1, 2);
-    let mut back = Vec::new();
+    let mut retry_delays = Vec::new();
     for number in 0..40 {
         for (_, answer) in dispatcher.ask(Time(0), from(1), ask(number, 1, OBJECTIVE_MS)) {
             if let SlotAnswer::Refused(millis) = answer {
-                back.push(millis);
+                retry_delays.push(millis);
             }
         }
     }
-    assert!(back.len() > 20, "{}", back.len());
-    assert!(back.windows(2).all(|pair| pair[0] <= pair[1]), "{back:?}");
-    assert!(back[0] >= 100 && back[back.len() - 1] > back[0] + 300, "{back:?}");
+    assert!(retry_delays.len() > 20, "{}", retry_delays.len());
+    assert!(retry_delays.windows(2).all(|pair| pair[0] <= pair[1]), "{retry_delays:?}");
+    assert!(
+        retry_delays[0] >= 100 && retry_delays[retry_delays.len() - 1] > retry_delays[0] + 300,
+        "{retry_delays:?}"
+    );
 }
 
-/// Routes whose objective was about as long as a run were refused whenever anything waited, and served
-/// a sixth as often as others.
+/// Guards against refusing requests whose objective is about as long as a run whenever another request
+/// waits: their routes were served a sixth as often as others.
 #[test]
-fn a_request_whose_objective_is_as_short_as_a_run_has_its_turn_too() {
-    let mut dispatcher = full();
-    let orders = dispatcher.ask(Time(0), from(1), ask(2, 2, 40));
-    assert_eq!(orders, [(id(2), SlotAnswer::Waits)]);
-    let turn = dispatcher.ended(Time(60), id(1), SlotEnd::Answered);
-    assert_eq!(turn, [(id(2), SlotAnswer::Granted(0))]);
+fn a_request_with_an_objective_as_short_as_a_run_is_granted_too() {
+    let mut dispatcher = full_dispatcher();
+    let replies = dispatcher.ask(Time(0), from(1), ask(2, 2, 40));
+    assert_eq!(replies, [(id(2), SlotAnswer::Waits)]);
+    let replies = dispatcher.ended(Time(60), id(1), SlotEnd::Answered);
+    assert_eq!(replies, [(id(2), SlotAnswer::Granted(0))]);
 }
 
 #[test]
-fn a_wait_that_has_become_too_long_ends_in_time() {
-    let mut dispatcher = full();
+fn an_expired_wait_ends_with_a_refusal() {
+    let mut dispatcher = full_dispatcher();
     dispatcher.ask(Time(0), from(1), ask(2, 1, 300));
     assert_eq!(dispatcher.tick(Time(150)), []);
     let ended = dispatcher.tick(Time(301));
@@ -107,63 +112,67 @@
 }
 
 #[test]
-fn a_server_that_failed_a_request_does_not_get_it_again_and_one_that_fails_gets_fewer() {
+fn failing_servers_get_fewer_requests_and_none_twice() {
     let mut dispatcher = dispatcher(2, 6);
-    let mut second = ask(1, 1, 300);
-    second.tried = vec![0];
-    assert_eq!(granted(&dispatcher.ask(Time(0), from(1), second)), [1]);
+    let mut request = ask(1, 1, 300);
+    request.tried = vec![0];
+    assert_eq!(granted_servers(&dispatcher.ask(Time(0), from(1), request)), [1]);
     dispatcher.ended(Time(10), id(1), SlotEnd::Answered);
     for number in 2..40 {
-        let orders = dispatcher.ask(Time(20), from(1), ask(number, 1, 300));
-        let end = if granted(&orders) == [0] { SlotEnd::Failed } else { SlotEnd::Answered };
+        let replies = dispatcher.ask(Time(20), from(1), ask(number, 1, 300));
+        let end =
+            if granted_servers(&replies) == [0] { SlotEnd::Failed } else { SlotEnd::Answered };
         dispatcher.ended(Time(20), id(number), end);
     }
     let mut taken = [0; 2];
     for number in 100..130 {
-        let orders = dispatcher.ask(Time(30), from(1), ask(number, 1, 300));
-        granted(&orders).into_iter().for_each(|server| taken[server as usize] += 1);
+        let replies = dispatcher.ask(Time(30), from(1), ask(number, 1, 300));
+        granted_servers(&replies).into_iter().for_each(|server| taken[server as usize] += 1);
     }
     assert!(taken[0] < taken[1], "{taken:?}");
 }
 
 #[test]
-fn an_unreachable_server_gets_nothing_for_a_while() {
+fn an_unreachable_server_gets_no_requests_for_a_while() {
     let mut dispatcher = dispatcher(2, 6);
-    let first = granted(&dispatcher.ask(Time(0), from(1), ask(1, 1, 300)))[0];
+    let first = granted_servers(&dispatcher.ask(Time(0), from(1), ask(1, 1, 300)))[0];
     dispatcher.ended(Time(5), id(1), SlotEnd::Unreachable);
     for number in 2..6 {
-        let orders = dispatcher.ask(Time(10), from(1), ask(number, 1, 300));
-        assert_eq!(granted(&orders), [1 - first]);
+        let replies = dispatcher.ask(Time(10), from(1), ask(number, 1, 300));
+        assert_eq!(granted_servers(&replies), [1 - first]);
     }
 }
 
 #[test]
-fn a_slot_whose_end_is_never_told_and_a_question_that_comes_twice_cost_nothing() {
-    let mut dispatcher = full();
-    assert_eq!(dispatcher.ask(Time(1), from(1), ask(1, 1, 300)), [], "told twice");
+fn lost_end_reports_and_duplicate_requests_cost_no_slots() {
+    let mut dispatcher = full_dispatcher();
+    assert_eq!(dispatcher.ask(Time(1), from(1), ask(1, 1, 300)), [], "a duplicate request");
     dispatcher.tick(Time(3_000));
     for number in 2..4 {
-        assert_eq!(granted(&dispatcher.ask(Time(3_001), from(1), ask(number, 1, 300))), [0]);
+        assert_eq!(
+            granted_servers(&dispatcher.ask(Time(3_001), from(1), ask(number, 1, 300))),
+            [0]
+        );
     }
 }
 
 #[test]
-fn one_organisation_does_not_fill_the_queue() {
+fn one_organisation_cannot_fill_the_queue() {
     let mut dispatcher = dispatcher(1, 2);
     for number in 0..60 {
         dispatcher.ask(Time(0), from(1), ask(number, 1, OBJECTIVE_MS));
     }
-    let orders = dispatcher.ask(Time(1), from(1), ask(100, 2, OBJECTIVE_MS));
-    assert!(orders.contains(&(id(100), SlotAnswer::Waits)), "{orders:?}");
+    let replies = dispatcher.ask(Time(1), from(1), ask(100, 2, OBJECTIVE_MS));
+    assert!(replies.contains(&(id(100), SlotAnswer::Waits)), "{replies:?}");
     assert!(
-        orders.iter().any(|(other, answer)| {
+        replies.iter().any(|(other, answer)| {
             *other != id(100) && matches!(answer, SlotAnswer::Refused(_))
         })
     );
 }
 
-/// Requests on public routes, a quarter of all, were taken for one organisation's and were nearly the
-/// only ones refused: 588 of 739 on one route.
+/// Guards against treating all requests without an organisation as those of a single one: requests on
+/// public routes, a quarter of all, were almost the only ones refused, 588 of 739 on one route.
 #[test]
 fn requests_without_an_organisation_are_not_refused_before_all_others() {
     let mut dispatcher = dispatcher(1, 2);
@@ -183,10 +192,10 @@
     assert!(unknown <= known / 2, "{unknown} without an organisation, {known} with one");
 }
 
-/// One organisation sends 7.5 times its usual, 15 others theirs: together twice what the servers bear.
-/// The others lose a tenth at the most.
+/// One organisation sends 7.5 times its usual rate and 15 others their usual rates, together twice the
+/// capacity of the servers. At most a tenth of the others' requests is refused.
 #[test]
-fn a_hot_organisation_costs_the_others_little() {
+fn an_overloading_organisation_hardly_affects_the_others() {
     const OTHERS: u64 = 15;
     let mut random = SmallRng::seed_from_u64(3);
     let mut dispatcher = dispatcher(3, 6);
@@ -195,25 +204,25 @@
     let (mut asked, mut refused) = ([0_u32; 2], [0_u32; 2]);
     let mut number = 0;
     for now in 0..20_000_u64 {
-        let (over, running): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(end, _)| *end <= now);
+        let (ended, running): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(end, _)| *end <= now);
         ends = running;
-        let mut orders: Vec<SlotReply> = Vec::new();
-        for (_, id) in over {
-            orders.extend(dispatcher.ended(Time(now), id, SlotEnd::Answered));
+        let mut replies: Vec<SlotReply> = Vec::new();
+        for (_, id) in ended {
+            replies.extend(dispatcher.ended(Time(now), id, SlotEnd::Answered));
         }
-        orders.extend(dispatcher.tick(Time(now)));
+        replies.extend(dispatcher.tick(Time(now)));
         for (organisation, per_second) in [(0, 450.0), (1 + now % OTHERS, 150.0)] {
             if random.random::<f64>() < per_second / 1_000.0 {
                 number += 1;
                 owner.insert(number, organisation);
                 asked[usize::from(organisation > 0)] += 1;
                 let ask = ask(number, organisation, OBJECTIVE_MS);
-                orders.extend(dispatcher.ask(Time(now), from(1), ask));
+                replies.extend(dispatcher.ask(Time(now), from(1), ask));
             }
         }
-        for (id, answer) in orders {
+        for (id, answer) in replies {
             match answer {
-                // Six of the requests at a server run at once, the others wait there.
+                // Six of the requests at a server run concurrently, the others wait there.
                 SlotAnswer::Granted(_) => ends.push((now + 156, id)),
                 SlotAnswer::Refused(_) => refused[usize::from(owner[&id.call] > 0)] += 1,
                 SlotAnswer::Waits => {}
@@ -225,15 +234,15 @@
     assert!(share(1) < 0.1, "{}", share(1));
 }
 
-/// How requests that come at random fare: in time, and refused.
-struct Played {
+/// Result of a simulation: the shares of requests that were answered in time, and refused.
+struct Simulated {
     in_time: f64,
     refused: f64,
 }
 
-/// Three servers of six slots, 60 ms a request on average, as the users' small service has them; news
-/// takes 3 ms.
-fn play(per_second: f64, mut choose: impl FnMut(u64, u32) -> Option<(u32, u64)>) -> Played {
+/// Simulates random arrivals at three servers of six slots, with 60 ms per request on average, as in the
+/// users' small service; a message to the dispatcher takes 3 ms.
+fn simulate(per_second: f64, mut choose: impl FnMut(u64, u32) -> Option<(u32, u64)>) -> Simulated {
     let mut random = SmallRng::seed_from_u64(7);
     let (mut asked, mut in_time, mut refused) = (0_u32, 0_u32, 0_u32);
     let mut queues: [VecDeque<u64>; 3] = Default::default();
@@ -259,14 +268,14 @@
         queue.push_back(begins + run);
         in_time += u32::from(begins + run <= now + u64::from(OBJECTIVE_MS));
     }
-    Played {
+    Simulated {
         in_time: f64::from(in_time) / f64::from(asked),
         refused: f64::from(refused) / f64::from(asked),
     }
 }
 
-/// With loads known 300 ms late, each node sends to the server that it takes for the idlest.
-fn idlest_heard() -> impl FnMut(u64, u32) -> Option<(u32, u64)> {
+/// Each node sends to the server that is least loaded according to load reports that are 300 ms old.
+fn least_loaded_as_reported() -> impl FnMut(u64, u32) -> Option<(u32, u64)> {
     let mut sent: VecDeque<(u64, u32)> = VecDeque::new();
     move |now, _| {
         sent.retain(|(at, _)| now < at + 400);
@@ -278,28 +287,28 @@
     }
 }
 
-/// The load of the users' busy minutes, 188 requests a second for 18 slots of 60 ms: in time were 0.898
-/// with news that is 300 ms old, and 0.990 with a dispatcher.
+/// At the load of the users' busy minutes, 188 requests per second for 18 slots of 60 ms, a share of 0.898
+/// was answered in time with load reports that are 300 ms old, and 0.990 with a dispatcher.
 #[test]
-fn a_dispatcher_serves_more_in_time_than_news_that_comes_late() {
-    let late = play(188.0, idlest_heard());
+fn a_dispatcher_serves_more_in_time_than_delayed_load_reports() {
+    let delayed = simulate(188.0, least_loaded_as_reported());
     let mut dispatcher = dispatcher(3, 6);
     let mut ends: Vec<(u64, CallId)> = Vec::new();
-    let dispatched = play(188.0, |now, number| {
-        let (over, running): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(end, _)| *end <= now);
+    let dispatched = simulate(188.0, |now, number| {
+        let (ended, running): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(end, _)| *end <= now);
         ends = running;
-        for (_, id) in over {
+        for (_, id) in ended {
             dispatcher.ended(Time(now), id, SlotEnd::Answered);
         }
-        let orders = dispatcher.ask(Time(now), from(1), ask(number, 1, OBJECTIVE_MS));
+        let replies = dispatcher.ask(Time(now), from(1), ask(number, 1, OBJECTIVE_MS));
         ends.push((now + 66, id(number)));
-        granted(&orders).first().map(|server| (*server, 3))
+        granted_servers(&replies).first().map(|server| (*server, 3))
     });
     assert!(dispatched.refused < 0.01, "{}", dispatched.refused);
     assert!(
-        dispatched.in_time > late.in_time + 0.05,
-        "{} in time, {} with late news",
+        dispatched.in_time > delayed.in_time + 0.05,
+        "{} in time, {} with delayed load reports",
         dispatched.in_time,
-        late.in_time
+        delayed.in_time
     );
 }
--- a/crates/portrack/tests/gateway/logs.rs
+++ b/crates/portrack/tests/gateway/logs.rs
@@ -1,13 +1,13 @@
-//! Log lines are bounded and never wait for their reader.
+//! Log buffers are bounded, and logging never blocks on the output.
 
 use portrack::gateway::LogSink;
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// A reader that takes nothing until it is told to.
-struct Stuck(Receiver<()>, Sender<Vec<u8>>);
+/// A writer that blocks until it is released.
+struct BlockedWriter(Receiver<()>, Sender<Vec<u8>>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.recv();
         let _ = self.1.send(bytes.to_vec());
@@ -19,32 +19,32 @@
 }
 
 #[test]
-fn a_reader_that_stops_reading_costs_lines_and_nothing_else() {
-    let (go, gate) = channel();
+fn a_blocked_writer_only_drops_lines() {
+    let (release, blocked) = channel();
     let (written, out) = channel();
-    let inlet = LogSink::start_writer(Stuck(gate, written));
+    let writer = LogSink::start_writer(BlockedWriter(blocked, written));
     let mut sink = LogSink::default();
     let line = [b'x'; 99];
-    // 990 KB: more than the writer, the inlet and the sink can hold together, whenever the writer's
+    // 990 KB: more than the writer, its queue and the sink can hold together, no matter when the writer
     // thread takes its first lines.
     for round in 0..100 {
         for _ in 0..100 {
-            sink.write_all(&line).expect("never fails");
+            sink.write_all(&line).expect("writing to the sink never fails");
         }
         if round % 4 == 0 {
-            sink.hand_over(&inlet);
+            sink.hand_over(&writer);
         }
     }
-    assert!(sink.dropped() > 0, "more was written than is kept");
+    assert!(sink.dropped() > 0, "more lines were written than can be buffered");
     for _ in 0..4 {
-        go.send(()).expect("the writer lives");
+        release.send(()).expect("the writer thread is running");
     }
-    let first = out.recv().expect("written at last");
+    let first = out.recv().expect("written after the release");
     assert!(first.len() <= 300_000);
     let mut all = first;
     while !String::from_utf8_lossy(&all).contains("event=log_lines_dropped") {
-        sink.hand_over(&inlet);
-        let _ = go.send(());
-        all.extend(out.recv().expect("written at last"));
+        sink.hand_over(&writer);
+        let _ = release.send(());
+        all.extend(out.recv().expect("written after the release"));
     }
 }
--- a/crates/portrack/tests/gateway/main.rs
+++ b/crates/portrack/tests/gateway/main.rs
@@ -1,6 +1,5 @@
-//! The gateway's decisions, without sockets, clocks or the platform.
+//! Tests of the gateway's decisions, without sockets, clocks or the platform.
 
-mod answers;
 mod arrivals;
 mod backpressure;
 mod claims;
@@ -35,6 +34,7 @@
 mod quotas;
 mod regions;
 mod replicas;
+mod responses;
 mod retries;
 mod routes;
 mod settings;
--- a/crates/portrack/tests/gateway/quotas.rs
+++ b/crates/portrack/tests/gateway/quotas.rs
@@ -1,4 +1,4 @@
-//! What accountants count, and what a daemon lets in by itself.
+//! Tests of the accounts of quota accountants, and of the fallback without an accountant.
 
 use crate::support::ms;
 use portrack::Time;
@@ -21,54 +21,61 @@
     ([10, 0, 0, node], 7_000).into()
 }
 
-/// Units let in by one accountant that is asked every `every` ms from `since` until `until`.
-fn let_in(ledger: &mut QuotaLedger, quota: &Quota, since: u64, until: u64, every: usize) -> f64 {
-    let asks = (since..until).step_by(every);
+/// Units granted by an accountant that is asked every `interval` ms from `start` until `end`.
+fn grant_units(
+    ledger: &mut QuotaLedger,
+    quota: &Quota,
+    start: u64,
+    end: u64,
+    interval: usize,
+) -> f64 {
+    let asks = (start..end).step_by(interval);
     let granted =
         asks.filter(|now| ledger.ask(Time(*now), MARK, quota, UNITS, 1) == QuotaDecision::Granted);
     granted.count() as f64 * UNITS
 }
 
-fn told(ledger: &mut QuotaLedger, now: u64, quota: Quota) -> Vec<QuotaCount> {
+fn report(ledger: &mut QuotaLedger, now: u64, quota: Quota) -> Vec<QuotaCount> {
     ledger.counts(Time(now), true, |_| Some(quota))
 }
 
 #[test]
-fn what_is_let_in_follows_the_limit_and_begins_without_its_burst() {
+fn admission_follows_the_quota_and_starts_without_the_burst() {
     let (mut ledger, quota) = (QuotaLedger::new("a", 0.0), quota(1_000.0));
-    let first = let_in(&mut ledger, &quota, 0, 200, 10);
-    assert!(first <= 400.0, "a daemon that starts has not saved up: {first}");
-    let rest = let_in(&mut ledger, &quota, 200, 10_000, 10);
+    let first = grant_units(&mut ledger, &quota, 0, 200, 10);
+    assert!(first <= 400.0, "a new account has no saved burst: {first}");
+    let rest = grant_units(&mut ledger, &quota, 200, 10_000, 10);
     assert!((9_700.0..=10_000.0).contains(&rest), "{rest}");
 }
 
-/// A bucket holds six tenths of a burst: the rest covers what halls let in before they hear of each other.
+/// A bucket holds six tenths of a burst: the rest covers what halls admit before they receive each
+/// other's counts.
 #[test]
-fn what_was_saved_up_may_be_used_at_once_and_no_more() {
+fn a_saved_burst_may_be_used_at_once() {
     let (mut ledger, quota) = (QuotaLedger::new("a", 0.0), quota(1_000.0));
-    let_in(&mut ledger, &quota, 0, 10, 10);
-    let burst = let_in(&mut ledger, &quota, 5_000, 5_020, 1);
+    grant_units(&mut ledger, &quota, 0, 10, 10);
+    let burst = grant_units(&mut ledger, &quota, 5_000, 5_020, 1);
     assert!((600.0..=700.0).contains(&burst), "{burst}");
 }
 
-/// A limit far below what is sent is kept to from the first second on, and the debt of the time before
-/// is not paid for ever.
+/// A quota far below the traffic is enforced from the first second on, and the earlier debt does not
+/// block the organisation forever.
 #[test]
-fn a_lowered_limit_holds_within_a_window_and_a_raised_one_at_once() {
+fn a_lowered_quota_holds_within_a_window_and_a_raised_one_at_once() {
     let (mut ledger, high, low) = (QuotaLedger::new("a", 0.0), quota(10_000.0), quota(500.0));
-    let_in(&mut ledger, &high, 0, 4_000, 5);
-    let lowered = let_in(&mut ledger, &low, 4_000, 12_000, 5);
+    grant_units(&mut ledger, &high, 0, 4_000, 5);
+    let lowered = grant_units(&mut ledger, &low, 4_000, 12_000, 5);
     assert!(lowered <= 8.0 * 500.0 + 500.0, "{lowered}");
-    let later = let_in(&mut ledger, &low, 12_000, 16_000, 5);
+    let later = grant_units(&mut ledger, &low, 12_000, 16_000, 5);
     assert!(later >= 1_800.0, "{later}");
-    let raised = let_in(&mut ledger, &high, 16_000, 18_000, 5);
+    let raised = grant_units(&mut ledger, &high, 16_000, 18_000, 5);
     assert!(raised >= 18_000.0, "{raised}");
 }
 
 #[test]
-fn a_refused_caller_comes_back_after_the_one_before_it() {
+fn refused_callers_get_staggered_retry_times() {
     let (mut ledger, quota) = (QuotaLedger::new("a", 0.0), quota(1_000.0));
-    let_in(&mut ledger, &quota, 0, 1_000, 50);
+    grant_units(&mut ledger, &quota, 0, 1_000, 50);
     let mut after = Vec::new();
     for _ in 0..20 {
         if let QuotaDecision::Refused(span) = ledger.ask(Time(1_000), MARK, &quota, UNITS, 1) {
@@ -80,14 +87,14 @@
 }
 
 #[test]
-fn what_has_not_run_is_given_back_once_however_often_it_is_told() {
+fn refunds_are_counted_once_however_often_they_are_reported() {
     let (mut ledger, quota) = (QuotaLedger::new("a", 0.0), quota(1_000.0));
-    let_in(&mut ledger, &quota, 0, 1_000, 5);
+    grant_units(&mut ledger, &quota, 0, 1_000, 5);
     ledger.merge_refunds(from(9), 1, MARK, 0.0);
-    for all in [500.0, 500.0, 300.0, 500.0] {
-        ledger.merge_refunds(from(9), 1, MARK, all);
+    for total in [500.0, 500.0, 300.0, 500.0] {
+        ledger.merge_refunds(from(9), 1, MARK, total);
     }
-    let again = let_in(&mut ledger, &quota, 1_000, 1_001, 1).max(0.0)
+    let again = grant_units(&mut ledger, &quota, 1_000, 1_001, 1).max(0.0)
         + (0..20)
             .filter(|_| ledger.ask(Time(1_000), MARK, &quota, UNITS, 1) == QuotaDecision::Granted)
             .count() as f64
@@ -97,54 +104,62 @@
     let restarted = ledger.ask(Time(1_000), MARK, &quota, UNITS, 1);
     assert!(
         matches!(restarted, QuotaDecision::Refused(_)),
-        "another life of that daemon begins anew"
+        "another incarnation of the daemon starts a new baseline"
     );
 }
 
 #[test]
-fn two_accountants_that_hear_each_other_let_in_no_more_than_one() {
+fn two_connected_accountants_admit_no_more_than_one() {
     let quota = quota(1_000.0);
     let halls: [Rc<str>; 2] = ["a".into(), "b".into()];
     let mut ledgers = [QuotaLedger::new("a", 0.0), QuotaLedger::new("b", 0.0)];
-    let mut all = 0.0;
+    let mut total = 0.0;
     for now in (0..10_000).step_by(100) {
         for ledger in &mut ledgers {
-            all += let_in(ledger, &quota, now, now + 100, 10);
+            total += grant_units(ledger, &quota, now, now + 100, 10);
         }
         for (n, hall) in halls.iter().enumerate() {
-            for count in told(&mut ledgers[n], now + 100, quota) {
+            for count in report(&mut ledgers[n], now + 100, quota) {
                 let other = &mut ledgers[1 - n];
                 other.merge_count(Time(now + 100), from(n as u8), hall, &count, &quota, 1);
             }
         }
     }
-    assert!((9_500.0..=11_200.0).contains(&all), "{all}");
+    assert!((9_500.0..=11_200.0).contains(&total), "{total}");
 }
 
 #[test]
-fn a_hall_that_falls_silent_keeps_its_part_and_no_other_has_it() {
+fn the_share_of_a_silent_hall_stays_reserved() {
     let quota = quota(1_000.0);
     let (hall_a, hall_b): (Rc<str>, Rc<str>) = ("a".into(), "b".into());
     let (mut a, mut b) = (QuotaLedger::new("a", 0.0), QuotaLedger::new("b", 0.0));
     for now in (0..6_000).step_by(100) {
-        let_in(&mut a, &quota, now, now + 100, 20);
-        let_in(&mut b, &quota, now, now + 100, 20);
-        for count in told(&mut a, now + 100, quota) {
+        grant_units(&mut a, &quota, now, now + 100, 20);
+        grant_units(&mut b, &quota, now, now + 100, 20);
+        for count in report(&mut a, now + 100, quota) {
             b.merge_count(Time(now + 100), from(1), &hall_a, &count, &quota, 1);
         }
-        for count in told(&mut b, now + 100, quota) {
+        for count in report(&mut b, now + 100, quota) {
             a.merge_count(Time(now + 100), from(2), &hall_b, &count, &quota, 1);
         }
     }
-    let cut = 4.0;
-    let (part_a, part_b) =
-        (let_in(&mut a, &quota, 7_000, 11_000, 5), let_in(&mut b, &quota, 7_000, 11_000, 5));
-    assert!(part_a + part_b <= 1_000.0 * (cut + 1.5), "{part_a} and {part_b} in {cut} s");
-    assert!(part_a >= 1_500.0 && part_b >= 1_500.0, "both go on: {part_a}, {part_b}");
+    let partition_s = 4.0;
+    let (admitted_a, admitted_b) = (
+        grant_units(&mut a, &quota, 7_000, 11_000, 5),
+        grant_units(&mut b, &quota, 7_000, 11_000, 5),
+    );
+    assert!(
+        admitted_a + admitted_b <= 1_000.0 * (partition_s + 1.5),
+        "{admitted_a} and {admitted_b} in {partition_s} s"
+    );
+    assert!(
+        admitted_a >= 1_500.0 && admitted_b >= 1_500.0,
+        "both halls keep admitting: {admitted_a}, {admitted_b}"
+    );
 }
 
 #[test]
-fn a_daemon_that_reaches_no_accountant_uses_its_part_of_the_demand() {
+fn a_daemon_without_accountant_uses_its_share_of_the_demand() {
     let quota = quota(1_000.0);
     let mut share = FallbackShare::default();
     for now in (0..4_000).step_by(400) {
@@ -154,15 +169,16 @@
     let admitted =
         (4_000..8_000).step_by(10).filter(|now| share.admit(Time(*now), &quota, UNITS, 10));
     let units = admitted.count() as f64 * UNITS;
-    // It sent a quarter of the limit while the fleet used half of it.
+    // The daemon sent a quarter of the quota while the fleet used half of it.
     assert!((500.0..=2_200.0).contains(&units), "{units} of 4,000 in 4 s");
 }
 
-/// What daemons let in by themselves counted as their demand, so that their parts grew without end.
+/// Guards against counting requests that a daemon admits by itself as its demand: its share then grew
+/// without bound.
 #[test]
-fn all_daemons_together_that_reach_no_accountant_stay_within_the_limit() {
+fn daemons_without_accountants_together_stay_within_the_quota() {
     let quota = quota(10_000.0);
-    let mut all = 0.0;
+    let mut total = 0.0;
     for daemon in 0..10_u64 {
         let mut share = FallbackShare::default();
         for now in (0..4_000).step_by(50) {
@@ -171,37 +187,38 @@
         }
         let admitted =
             (4_000..8_000).step_by(5).filter(|now| share.admit(Time(*now), &quota, UNITS, 10));
-        all += admitted.count() as f64 * UNITS;
+        total += admitted.count() as f64 * UNITS;
     }
-    assert!(all <= 4.0 * 10_000.0 * 1.1, "{all}");
+    assert!(total <= 4.0 * 10_000.0 * 1.1, "{total}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Counts that come late, twice or not at all never let more in than those that come in order.
+    /// Counts that are late, duplicate or lost never lead to more admissions than counts in order.
     #[test]
-    fn late_doubled_and_lost_counts_leave_no_more_than_there_is(
+    fn late_duplicate_and_lost_counts_never_raise_admissions(
         order in proptest::collection::vec(0_usize..20, 0..60),
     ) {
         let quota = quota(1_000.0);
         let hall: Rc<str> = "b".into();
-        let (mut mine, mut other) = (QuotaLedger::new("a", 0.0), QuotaLedger::new("b", 0.0));
-        mine.ask(Time(0), MARK, &quota, 0.0, 1);
-        let mut tellings = Vec::new();
+        let (mut own, mut other) = (QuotaLedger::new("a", 0.0), QuotaLedger::new("b", 0.0));
+        own.ask(Time(0), MARK, &quota, 0.0, 1);
+        let mut reports = Vec::new();
         for step in 0..20_u64 {
-            let_in(&mut other, &quota, step * 50, step * 50 + 50, 5);
-            tellings.push(told(&mut other, step * 50 + 50, quota));
+            grant_units(&mut other, &quota, step * 50, step * 50 + 50, 5);
+            reports.push(report(&mut other, step * 50 + 50, quota));
         }
         for at in order.into_iter().chain([19]) {
-            for count in &tellings[at] {
-                mine.merge_count(Time(1_000), from(2), &hall, count, &quota, 1);
+            for count in &reports[at] {
+                own.merge_count(Time(1_000), from(2), &hall, count, &quota, 1);
             }
         }
         let left = (0..40).filter(|_| {
-            mine.ask(Time(1_000), MARK, &quota, UNITS, 1) == QuotaDecision::Granted
+            own.ask(Time(1_000), MARK, &quota, UNITS, 1) == QuotaDecision::Granted
         });
-        // The other one has let in all that came; a tenth of a second's worth is given at first.
+        // The other accountant has granted the whole refill; a new account starts with a tenth of a
+        // second's worth.
         prop_assert!(left.count() <= 3);
     }
 }
--- a/crates/portrack/tests/gateway/answers.rs
+++ b/crates/portrack/tests/gateway/responses.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and events of answers, in pieces of any size.
+//! Parsing of response heads, bodies and events, split into pieces of any size.
 
 use actix_http::header::HeaderMap;
 use bytes::{Bytes, BytesMut};
@@ -9,10 +9,10 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// A dialect whose answers name their request in `id`.
-struct Plain;
+/// A dialect whose responses have the request id in the header `id`.
+struct TestDialect;
 
-impl Dialect for Plain {
+impl Dialect for TestDialect {
     fn prefix(&self) -> &'static str {
         ""
     }
@@ -64,15 +64,17 @@
 }
 
 fn head(text: &str) -> ResponseHead {
-    parse_head(&Plain, &mut BytesMut::from(text)).expect("an answer").expect("whole")
+    parse_head(&TestDialect, &mut BytesMut::from(text))
+        .expect("a valid head")
+        .expect("a complete head")
 }
 
-fn refused(text: &str) -> bool {
-    parse_head(&Plain, &mut BytesMut::from(text)).is_err()
+fn is_invalid(text: &str) -> bool {
+    parse_head(&TestDialect, &mut BytesMut::from(text)).is_err()
 }
 
 #[test]
-fn framing_connection_and_owner_are_read() {
+fn framing_connection_headers_and_request_id_are_parsed() {
     let sized = head("HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 5\r\n\r\n");
     assert_eq!(sized.framing, Framing::Length(5));
     assert_eq!(sized.meta.request_id.as_deref(), Some("r1"));
@@ -81,16 +83,16 @@
         head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n");
     assert_eq!(chunked.framing, Framing::Chunked);
     assert!(chunked.close);
-    let endless = head("HTTP/1.1 200 OK\r\n\r\n");
-    assert_eq!(endless.framing, Framing::UntilClose);
-    assert!(endless.close, "nothing can follow it");
+    let until_close = head("HTTP/1.1 200 OK\r\n\r\n");
+    assert_eq!(until_close.framing, Framing::UntilClose);
+    assert!(until_close.close, "the body ends with the connection");
     let idle = head("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=4, max=9\r\n\r\n");
     assert_eq!(idle.keep_alive, Some(Duration::from_secs(4)));
     assert_eq!(head("HTTP/1.1 204 No Content\r\n\r\n").framing, Framing::Length(0));
 }
 
 #[test]
-fn headers_of_one_connection_are_not_handed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let head = head(
         "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\nKeep-Alive: timeout=4\r\nX-Own: 1\r\n\
          Transfer-Encoding: chunked\r\n\r\n",
@@ -100,11 +102,11 @@
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_refused() {
-    assert!(refused("GARBAGE \0\r\n\r\n"));
-    assert!(refused("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n"));
-    assert!(refused("HTTP/1.1 200 OK\r\nContent-Length: five\r\n\r\n"));
-    assert!(refused(&format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(40_000))));
+fn invalid_responses_are_rejected() {
+    assert!(is_invalid("GARBAGE \0\r\n\r\n"));
+    assert!(is_invalid("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n"));
+    assert!(is_invalid("HTTP/1.1 200 OK\r\nContent-Length: five\r\n\r\n"));
+    assert!(is_invalid(&format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(40_000))));
 }
 
 fn decode(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool), String> {
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn a_body_that_is_not_whole_does_not_look_whole() {
+fn incomplete_bodies_are_not_reported_as_complete() {
     assert_eq!(decode(Framing::Length(5), &[b"abc"]), Ok((b"abc".to_vec(), false)));
     assert_eq!(decode(Framing::Chunked, &[b"3\r\nabc\r\n"]), Ok((b"abc".to_vec(), false)));
     assert_eq!(decode(Framing::UntilClose, &[b"abc"]), Ok((b"abc".to_vec(), true)));
@@ -137,9 +139,9 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_chunked_body_survives_any_split(
+    fn a_chunked_body_is_decoded_with_any_split(
         chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..40), 0..6),
-        cut in 1_usize..9,
+        piece_size in 1_usize..9,
     ) {
         let mut wire = Vec::new();
         for chunk in &chunks {
@@ -148,38 +150,38 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\n\r\n");
-        let pieces: Vec<&[u8]> = wire.chunks(cut).collect();
+        let pieces: Vec<&[u8]> = wire.chunks(piece_size).collect();
         prop_assert_eq!(decode(Framing::Chunked, &pieces), Ok((chunks.concat(), true)));
     }
 
     #[test]
-    fn a_head_is_read_whole_or_not_at_all(cut in 0_usize..60) {
+    fn a_head_is_parsed_only_once_it_is_complete(split_at in 0_usize..60) {
         let text = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 5\r\n\r\n";
-        let cut = cut.min(text.len());
-        let mut buffer = BytesMut::from(&text[..cut]);
-        let first = parse_head(&Plain, &mut buffer).expect("no error");
-        prop_assert_eq!(first.is_some(), cut == text.len());
+        let split_at = split_at.min(text.len());
+        let mut buffer = BytesMut::from(&text[..split_at]);
+        let first = parse_head(&TestDialect, &mut buffer).expect("no error");
+        prop_assert_eq!(first.is_some(), split_at == text.len());
         if first.is_none() {
-            buffer.extend_from_slice(&text.as_bytes()[cut..]);
-            prop_assert!(parse_head(&Plain, &mut buffer).expect("no error").is_some());
+            buffer.extend_from_slice(&text.as_bytes()[split_at..]);
+            prop_assert!(parse_head(&TestDialect, &mut buffer).expect("no error").is_some());
         }
     }
 
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = parse_head(&Plain, &mut BytesMut::from(&bytes[..]));
+        let _ = parse_head(&TestDialect, &mut BytesMut::from(&bytes[..]));
         let _ = decode(Framing::Chunked, &[&bytes]);
     }
 
     #[test]
-    fn events_are_handed_on_whole(cut in 1_usize..12) {
+    fn only_complete_events_are_forwarded(piece_size in 1_usize..12) {
         let wire = b"id: 1\ndata: a\n\nid: 2\ndata: bb\n\nid: 3\ndata: c";
         let mut events = EventSplitter::default();
         let mut out = Vec::new();
-        for piece in wire.chunks(cut) {
-            if let Some(whole) = events.push(piece) {
-                out.extend_from_slice(&whole);
-                prop_assert!(whole.ends_with(b"\n\n"));
+        for piece in wire.chunks(piece_size) {
+            if let Some(complete) = events.push(piece) {
+                out.extend_from_slice(&complete);
+                prop_assert!(complete.ends_with(b"\n\n"));
             }
         }
         prop_assert_eq!(&out[..], &wire[..31]);
--- a/crates/portrack/tests/gateway/retries.rs
+++ b/crates/portrack/tests/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Tests of the retry budgets.
 
 use crate::support::ms;
 use portrack::Time;
@@ -11,31 +11,31 @@
     RetryBudgets::new(RetryBounds { ratio: 0.2, slack: 50.0, window: ms(WINDOW_MS) })
 }
 
-fn taken(retries: &mut RetryBudgets, now: u64, service: &Rc<str>, daemons: usize) -> usize {
+fn count_retries(retries: &mut RetryBudgets, now: u64, service: &Rc<str>, daemons: usize) -> usize {
     (0..1_000).filter(|_| retries.try_take(Time(now), service, daemons)).count()
 }
 
 #[test]
 fn the_slack_is_shared_between_daemons() {
     let service: Rc<str> = "s".into();
-    assert_eq!(taken(&mut retries(), 0, &service, 1), 40);
-    let all: usize = (0..5).map(|_| taken(&mut retries(), 0, &service, 5)).sum();
+    assert_eq!(count_retries(&mut retries(), 0, &service, 1), 40);
+    let all: usize = (0..5).map(|_| count_retries(&mut retries(), 0, &service, 5)).sum();
     assert!(all <= 50, "{all}");
 }
 
 #[test]
-fn requests_add_their_share_and_services_do_not_share() {
+fn requests_raise_the_budget_of_their_own_service_only() {
     let mut retries = retries();
     let (busy, idle): (Rc<str>, Rc<str>) = ("busy".into(), "idle".into());
     for _ in 0..100 {
         retries.record_request(Time(5), &busy);
     }
-    assert_eq!(taken(&mut retries, 10, &busy, 10), 20);
-    assert_eq!(taken(&mut retries, 10, &idle, 10), 4);
+    assert_eq!(count_retries(&mut retries, 10, &busy, 10), 20);
+    assert_eq!(count_retries(&mut retries, 10, &idle, 10), 4);
 }
 
 #[test]
-fn in_no_window_more_is_taken_than_allowed() {
+fn no_window_exceeds_the_budget() {
     let mut retries = retries();
     let service: Rc<str> = "s".into();
     let mut times = Vec::new();
--- a/crates/portrack/tests/gateway/routes.rs
+++ b/crates/portrack/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Tests of routing and traffic splits.
 
 use portrack::gateway::{FleetConfig, Route, RouteKind, RouteTable, Target, pick_target};
 use std::rc::Rc;
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_a_request_keeps_its_side() {
+fn a_split_follows_its_weights_and_is_stable_per_request_id() {
     let split = route("r", "h", "/", &[("big", 90), ("small", 10), ("none", 0)]);
-    let side = |n: usize| pick_target(&split, &format!("id-{n}")).map(|t| t.service.to_string());
-    let small = (0..5_000).filter(|n| side(*n).as_deref() == Some("small")).count();
+    let target = |n: usize| pick_target(&split, &format!("id-{n}")).map(|t| t.service.to_string());
+    let small = (0..5_000).filter(|n| target(*n).as_deref() == Some("small")).count();
     assert!((400..600).contains(&small), "{small}");
-    assert!((0..5_000).all(|n| side(n).as_deref() != Some("none")));
-    assert!((0..100).all(|n| side(n) == side(n)));
+    assert!((0..5_000).all(|n| target(n).as_deref() != Some("none")));
+    assert!((0..100).all(|n| target(n) == target(n)));
     assert!(pick_target(&route("r", "h", "/", &[("none", 0)]), "id").is_none());
 }
--- a/crates/portrack/tests/gateway/settings.rs
+++ b/crates/portrack/tests/gateway/settings.rs
@@ -1,9 +1,9 @@
-//! The settings file of a gateway daemon.
+//! Tests of the settings file of a gateway daemon.
 
 use portrack::gateway::GatewaySettings;
 use std::path::Path;
 
-const GOOD: &str = r#"node = "n1"
+const VALID: &str = r#"node = "n1"
 hall = "a"
 callers = "10.0.0.1:8000"
 readiness = "10.0.0.1:8001"
@@ -23,7 +23,7 @@
 
 #[test]
 fn unknown_fields_are_ignored_and_missing_bounds_have_defaults() {
-    let settings = parse(GOOD).expect("usable");
+    let settings = parse(VALID).expect("valid settings");
     assert_eq!(settings.node, "n1");
     assert!((settings.bounds.retry_slack - 54.0).abs() < 1e-9);
     assert_eq!(settings.bounds.order_quiet_ms, 3_000);
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn news_must_be_known_within_the_shorter_of_the_two_bounds() {
+fn the_propagation_bound_is_the_shorter_of_the_two_bounds() {
     let within = |bounds: &str| {
-        let settings = parse(&GOOD.replace("retry_slack = 54", bounds)).expect("usable");
+        let settings = parse(&VALID.replace("retry_slack = 54", bounds)).expect("valid settings");
         settings.bounds.news_within().as_millis()
     };
     assert_eq!(within("retry_slack = 54"), 2_000);
@@ -42,22 +42,22 @@
 }
 
 #[test]
-fn bad_settings_are_refused_with_file_line_and_key() {
-    let refused = [
-        (GOOD.replace("\"10.0.0.1:8000\"", "\"somewhere\""), "local.toml:3", "callers"),
-        (GOOD.replace("stop_within_s = 8", "stop_within_s = 0"), "local.toml:12", "stop_within_s"),
-        (GOOD.replace("retry_slack = 54", "retry_slack = -1"), "local.toml:11", "retry_slack"),
-        (GOOD.replace("retry_slack = 54", "drain_ms = 0"), "local.toml:11", "drain_ms"),
+fn invalid_settings_are_rejected_with_file_line_and_key() {
+    let invalid = [
+        (VALID.replace("\"10.0.0.1:8000\"", "\"somewhere\""), "local.toml:3", "callers"),
+        (VALID.replace("stop_within_s = 8", "stop_within_s = 0"), "local.toml:12", "stop_within_s"),
+        (VALID.replace("retry_slack = 54", "retry_slack = -1"), "local.toml:11", "retry_slack"),
+        (VALID.replace("retry_slack = 54", "drain_ms = 0"), "local.toml:11", "drain_ms"),
         (
-            GOOD.replace("stop_within_s = 8", "config_within_ms = 1"),
+            VALID.replace("stop_within_s = 8", "config_within_ms = 1"),
             "local.toml:12",
             "config_within_ms",
         ),
-        (GOOD.replace("store = \"10.0.0.9:8142\"", "store = \"x\""), "local.toml:7", "store"),
-        (GOOD.replace("node = \"n1\"\n", ""), "local.toml", "node"),
-        (GOOD.replace("hall = \"a\"", "hall = 3"), "local.toml:2", "hall"),
+        (VALID.replace("store = \"10.0.0.9:8142\"", "store = \"x\""), "local.toml:7", "store"),
+        (VALID.replace("node = \"n1\"\n", ""), "local.toml", "node"),
+        (VALID.replace("hall = \"a\"", "hall = 3"), "local.toml:2", "hall"),
     ];
-    for (text, place, key) in refused {
+    for (text, place, key) in invalid {
         let error = parse(&text).expect_err(key);
         assert!(error.contains(place) && error.contains(key), "{error}");
     }
--- a/crates/portrack/tests/gateway/support.rs
+++ b/crates/portrack/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Small values that several tests need.
+//! Helpers shared by several tests.
 
 use portrack::gateway::{
     AdapterKey, Backend, EngineSpec, FleetConfig, HeldAdapter, HeldModel, ModelSpec, Service,
@@ -47,7 +47,7 @@
     Rc::new(FleetConfig { version: 1, services, ..FleetConfig::default() })
 }
 
-/// A server of the engine service that holds the base model and these adapters.
+/// A server of the engine service with the base model and these adapters loaded.
 pub fn backend(id: &str, adapters: &[(&str, u64)]) -> Backend {
     let adapters = adapters
         .iter()
@@ -55,7 +55,7 @@
     Backend {
         id: id.into(),
         service: "llm".into(),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("a valid address"),
         hall: "a".into(),
         slots: 64,
         draining: false,
