--- a/crates/portrack/src/gateway/admission/freshness.rs
+++ b/crates/portrack/src/gateway/admission/freshness.rs
@@ -49,7 +49,7 @@
         self.age(now).is_some_and(|age| age <= bound)
     }
 
-    /// The age to send to another daemon, in whole milliseconds, rounded up.
+    /// The age to send to another daemon, in whole milliseconds; never less than the actual age.
     pub fn age_for_peer(&self, now: Time) -> Option<u32> {
         let age = self.age(now)?.as_millis().saturating_add(1);
         u32::try_from(age).ok()
--- a/crates/portrack/src/gateway/dispatch/dispatcher.rs
+++ b/crates/portrack/src/gateway/dispatch/dispatcher.rs
@@ -260,9 +260,9 @@
     }
 
     fn refusal(&mut self, now: Time) -> SlotAnswer {
-        let (free, apart) =
+        let (until_free, interval) =
             (self.expected_wait(now, self.waiting.len() + 1), self.expected_wait(now, 1));
-        SlotAnswer::Refused(self.retry_scheduler.next(now, free, apart))
+        SlotAnswer::Refused(self.retry_scheduler.next(now, until_free, interval))
     }
 
     /// Records the end of a request at a server, and grants the slots that have become free.
--- a/crates/portrack/src/gateway/requests/handler.rs
+++ b/crates/portrack/src/gateway/requests/handler.rs
@@ -165,8 +165,8 @@
             .and_then(|target| view.service(&target.service))
             .ok_or_else(|| Refused::new(RefusalReason::NoServer, Some(NOT_READY_RETRY)))?
             .clone();
-        let patience = request.meta.patience.unwrap_or(route.timeout).min(route.timeout);
-        let deadline = request.arrived + patience;
+        let timeout = request.meta.patience.unwrap_or(route.timeout).min(route.timeout);
+        let deadline = request.arrived + timeout;
         Ok(Job {
             request,
             progress,
@@ -274,7 +274,7 @@
         let sending =
             send_request(&*self.dialect, &self.pool, backend, outgoing, may_send, on_head);
         let sent = match self.slow_timeout(job, now) {
-            Some(patience) => match actix_rt::time::timeout(patience, sending).await {
+            Some(slow_timeout) => match actix_rt::time::timeout(slow_timeout, sending).await {
                 Ok(sent) => sent,
                 Err(_) => SendOutcome::MayHaveRun(crate::gateway::ExchangeError::Lost {
                     why: "slow".into(),
@@ -358,14 +358,15 @@
         !self.grants.is_limited(&choice.backend) || choice.grant.as_ref().is_some_and(is_fresh)
     }
 
-    /// Time after which another server is tried; `None` if the request must not be sent again.
+    /// Time after which another server is tried; `None` if another attempt is not allowed or
+    /// would come too late.
     fn slow_timeout(&self, job: &Job<'_>, now: Time) -> Option<Duration> {
         let may_retry = job.possible_runs + 1 < job.route.attempts;
         let has_no_engine = job.service.engine.is_none();
-        let patience = job.route.objective * SLOW_OBJECTIVES;
+        let slow_timeout = job.route.objective * SLOW_OBJECTIVES;
         let left = job.deadline.since(now);
-        (job.route.repeatable() && may_retry && has_no_engine && patience * 2 < left)
-            .then_some(patience)
+        (job.route.repeatable() && may_retry && has_no_engine && slow_timeout * 2 < left)
+            .then_some(slow_timeout)
     }
 
     fn forward_meta<'a>(&self, job: &'a Job<'_>, choice: &'a Choice) -> ForwardMeta<'a> {
--- a/crates/portrack/src/gateway/requests/ingress.rs
+++ b/crates/portrack/src/gateway/requests/ingress.rs
@@ -240,9 +240,9 @@
         .map_err(|_| NoRequest::Refuse(StatusCode::REQUEST_TIMEOUT, RefusalReason::BadRequest))??;
     let arrived = host.clock().now();
     let meta = host.dialect().request(head.headers()).map_err(|_| bad_request())?;
-    let patience = meta.patience.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
+    let body_timeout = meta.patience.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
     let reading = read_body(reader, codec, &head, limits.body_bytes);
-    let body = actix_rt::time::timeout(patience, reading)
+    let body = actix_rt::time::timeout(body_timeout, reading)
         .await
         .map_err(|_| NoRequest::Refuse(StatusCode::REQUEST_TIMEOUT, RefusalReason::BadRequest))??;
     let target = head.uri().path_and_query().map_or("/", |target| target.as_str()).to_owned();
