--- a/crates/portrackd/tests/soak/callers.rs
+++ b/crates/portrackd/tests/soak/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{ADAPTERS, HOST, MODEL};
 use portrack_platform_standins::{
-    CHAT_PATH, CallerConnection, CallerRequest, HOME_PATH, is_whole_answer,
+    CHAT_PATH, CallerConnection, CallerRequest, HOME_PATH, is_complete_response,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -133,7 +133,7 @@
         id,
         model: MODEL,
         adapter: &format!("a{adapter}"),
-        patience: PATIENCE,
+        timeout: PATIENCE,
         key: None,
     };
     let asking = async {
@@ -141,7 +141,7 @@
             Some(connection) => connection,
             None => CallerConnection::open(daemon).await?,
         };
-        let answer = connection.ask(&request).await?;
+        let answer = connection.send(&request).await?;
         *kept = Some(connection).filter(|_| !answer.closes());
         std::io::Result::Ok(answer)
     };
@@ -152,7 +152,7 @@
     };
     let retry = answer.retry_after();
     let end = match answer.status {
-        200 if is_whole_answer(id, &answer.body) => End::Served,
+        200 if is_complete_response(id, &answer.body) => End::Served,
         200 => End::Wrong(answer.body),
         status if answer.is_refusal() => End::Refused(status),
         status => End::Failed(status.to_string()),
--- a/crates/portrackd/tests/soak/crashes.rs
+++ b/crates/portrackd/tests/soak/crashes.rs
@@ -51,11 +51,11 @@
             id: &id,
             model: MODEL,
             adapter: "a1",
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             key: None,
         };
         let daemon = daemons[random.random_range(0..daemons.len())];
-        let asking = async { CallerConnection::open(daemon).await?.ask(&request).await };
+        let asking = async { CallerConnection::open(daemon).await?.send(&request).await };
         let _ = actix_rt::time::timeout(Duration::from_secs(2), asking).await;
         let pause = Duration::from_millis(random.random_range(50..600));
         actix_rt::time::sleep(pause).await;
--- a/crates/portrackd/tests/soak/fleet.rs
+++ b/crates/portrackd/tests/soak/fleet.rs
@@ -4,7 +4,7 @@
 use portrack::gateway::log_field;
 use portrack_platform_standins::{
     Arrival, ChatPlan, ColdPlan, Crash, ModelServer, Operator, OrderSeen, READY_PATH, Run,
-    ServerPlan, StoreDoor, StoreServer,
+    ServerPlan, StoreEndpoint, StoreServer,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{File, OpenOptions};
@@ -120,7 +120,7 @@
     /// The configuration's version and contents.
     config: (u64, ChatPlan),
     /// Where each daemon reaches the store.
-    doors: Vec<StoreDoor>,
+    doors: Vec<StoreEndpoint>,
     daemons: Vec<Daemon>,
     ports: Ports,
     folder: PathBuf,
@@ -169,14 +169,14 @@
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let store = StoreServer::start(any).await.expect("the store starts");
         if let Some(era) = plan.era {
-            store.tell_era(&[&era.to_string()]);
+            store.set_era_headers(&[&era.to_string()]);
         }
         let chat = ChatPlan {
             host: HOST.into(),
             service: SERVICE.into(),
             model: MODEL.into(),
             slots: SLOTS,
-            places: plan.places,
+            adapter_slots: plan.places,
             organisations: plan.organisations.clone(),
             cold: plan.cold,
             home: plan.halls[0].1.into(),
@@ -184,7 +184,7 @@
         Operator(&store).configure(1, &chat);
         let mut doors = Vec::new();
         for _ in 0..daemons {
-            doors.push(store.open_door().await.expect("the store has a further address"));
+            doors.push(store.open_endpoint().await.expect("the store has a further address"));
         }
         let mut all = Vec::new();
         for n in 0..servers {
@@ -197,9 +197,9 @@
                 slots: SLOTS,
                 load_time: LOAD_TIME,
                 adapters: adapters.map(|adapter| format!("a{adapter}")).collect(),
-                places: plan.places,
+                adapter_slots: plan.places,
                 late_orders: plan.late_orders,
-                cold_for: plan.cold.map(|cold| cold.lasts).unwrap_or_default(),
+                cold_for: plan.cold.map(|cold| cold.duration).unwrap_or_default(),
                 crashed_by: plan.crashed_by.clone(),
             };
             all.push(ModelServer::start(any, server, &store).await.expect("a server starts"));
@@ -351,7 +351,7 @@
     /// Names the next version of an adapter.
     pub fn name_next(&mut self, adapter: &str) -> u64 {
         let version = self.newest(adapter) + 1;
-        let accepted = Operator(&self.store).name_version(MODEL, adapter, version);
+        let accepted = Operator(&self.store).announce_version(MODEL, adapter, version);
         self.names.push(Name { adapter: adapter.into(), version, accepted });
         version
     }
--- a/crates/portrackd/tests/soak/judge.rs
+++ b/crates/portrackd/tests/soak/judge.rs
@@ -80,10 +80,10 @@
 
 fn old_version(run: &Run, names: &[Name]) -> Option<OldVersion> {
     let newer = names.iter().filter(|name| {
-        name.adapter == run.adapter && name.version > run.version && name.accepted <= run.began
+        name.adapter == run.adapter && name.version > run.version && name.accepted <= run.started_at
     });
     let first = newer.min_by_key(|name| name.accepted)?;
-    let late = run.began.duration_since(first.accepted);
+    let late = run.started_at.duration_since(first.accepted);
     let found = OldVersion { run: run.clone(), newer: first.version, late };
     (late > VERSION_WITHIN).then_some(found)
 }
--- a/crates/portrackd/tests/soak/keys.rs
+++ b/crates/portrackd/tests/soak/keys.rs
@@ -134,10 +134,10 @@
             id: &id,
             model: MODEL,
             adapter: &format!("a{}", random.random_range(1..=ADAPTERS)),
-            patience: PATIENCE,
+            timeout: PATIENCE,
             key: Some(&key),
         };
-        let asking = async { CallerConnection::open(daemon).await?.ask(&request).await };
+        let asking = async { CallerConnection::open(daemon).await?.send(&request).await };
         let answer = actix_rt::time::timeout(PATIENCE, asking).await;
         let status = answer.map_or(0, |answer| answer.map_or(0, |answer| answer.status));
         shown.borrow_mut().push(Shown { id, key, organisation, sent, status });
@@ -151,7 +151,7 @@
     let by_id: HashMap<&str, &Shown> = shown.iter().map(|one| (one.id.as_str(), one)).collect();
     for run in play.fleet.runs() {
         let Some(asked) = by_id.get(run.request.as_str()) else { continue };
-        if run.showed_key {
+        if run.has_key {
             broken.push(format!("{}: the server saw a key", run.request));
         }
         if run.organisation.as_deref() != Some(&format!("o{}", asked.organisation)) {
--- a/crates/portrackd/tests/soak/returns.rs
+++ b/crates/portrackd/tests/soak/returns.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{ADAPTERS, Fleet, FleetPlan};
 use crate::judge::{Verdict, served_after};
 use crate::series::{number, play_seeds};
-use portrack_platform_standins::{LostWrites, OrderSeen, StoreCopy};
+use portrack_platform_standins::{LostWrites, OrderSeen, StoreSnapshot};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
@@ -32,9 +32,9 @@
 /// How a return from a copy goes on.
 enum Return {
     /// The copy is taken; what is written from now on is lost.
-    Copied { copy: StoreCopy, revision: u64, away_at: Instant },
+    Copied { copy: StoreSnapshot, revision: u64, away_at: Instant },
     /// The store is away.
-    Away { copy: StoreCopy, revision: u64, back_at: Instant },
+    Away { copy: StoreSnapshot, revision: u64, back_at: Instant },
     /// It is back; operators and servers have not written again yet.
     Lost { lost: LostWrites, revision: u64, again_at: Instant },
 }
@@ -59,7 +59,7 @@
             return;
         }
         let away_at = Instant::now() + self.millis(200, 8_000);
-        let (copy, revision) = (self.fleet.store.copy(), self.fleet.store.revision());
+        let (copy, revision) = (self.fleet.store.snapshot(), self.fleet.store.revision());
         self.coming = Some(Return::Copied { copy, revision, away_at });
     }
 
@@ -74,13 +74,13 @@
             }
             Some(Return::Away { copy, revision, back_at }) if now >= back_at => {
                 self.era += 1;
-                let lost = self.fleet.store.come_back(copy, self.era);
+                let lost = self.fleet.store.restore(copy, self.era);
                 self.fleet.store.set_down(false);
                 let again_at = now + self.millis(0, 5_000);
                 Some(Return::Lost { lost, revision, again_at })
             }
             Some(Return::Lost { lost, revision, again_at }) if now >= again_at => {
-                self.fleet.store.write_again(lost, revision);
+                self.fleet.store.replay_lost_writes(lost, revision);
                 // A daemon that started meanwhile, when all others were gone, could not know them.
                 self.fleet.names.iter_mut().for_each(|name| name.accepted = Instant::now());
                 None
--- a/crates/portrackd/tests/soak/servers.rs
+++ b/crates/portrackd/tests/soak/servers.rs
@@ -31,7 +31,7 @@
 const LATE_ORDERS: u64 = 3;
 /// Places for adapters, fewer than a server is asked for: a late order comes to a full server.
 const PLACES: usize = 3;
-const COLD: ColdPlan = ColdPlan { lasts: Duration::from_secs(3), per_second: 8.0 };
+const COLD: ColdPlan = ColdPlan { duration: Duration::from_secs(3), per_second: 8.0 };
 /// Requests that one region alone may serve.
 const HOME_SHARE: f64 = 0.2;
 
@@ -111,8 +111,8 @@
         let server = self.random.random_range(0..SERVERS);
         let daemon = self.random.random_range(0..DAEMONS);
         match self.random.random_range(0..12) {
-            0..4 => self.fleet.servers[server].start_again(),
-            4 => self.fleet.servers.iter().for_each(|server| server.start_again()),
+            0..4 => self.fleet.servers[server].restart(),
+            4 => self.fleet.servers.iter().for_each(|server| server.restart()),
             5 | 6 => self.replace_entry(server).await,
             7 => self.evacuate().await,
             8 => self.fleet.servers[server].turn_cold(),
@@ -131,11 +131,11 @@
 
     async fn replace_entry(&mut self, server: usize) {
         let entry = foreign(&mut self.random);
-        let accepted = self.fleet.servers[server].set_foreign(Some(&entry));
+        let accepted = self.fleet.servers[server].set_foreign_entry(Some(&entry));
         self.pause(3_500, 5_000).await;
         let server = &self.fleet.servers[server];
         let until = Instant::now();
-        server.set_foreign(None);
+        server.set_foreign_entry(None);
         let from = accepted + UNNAMED_WITHIN;
         self.unnamed.push(Closed { server: server.id().into(), from, until });
     }
@@ -167,7 +167,8 @@
             let inside = self.fleet.servers.iter().filter(|server| halls.contains(&server.hall()));
             inside.map(|server| server.id().to_owned()).collect()
         };
-        let overfilled: usize = self.fleet.servers.iter().map(|server| server.overfilled()).sum();
+        let overfilled: usize =
+            self.fleet.servers.iter().map(|server| server.loads_over_capacity()).sum();
         let cold_bound = COLD.per_second * COLD_RATIO + COLD_SLACK;
         let most_cold = most_while_cold(&arrivals);
         let (evacuated, outside) = (count(&self.evacuated), outside_region(&arrivals, &allowed));
--- a/crates/portrackd/tests/soak/words.rs
+++ b/crates/portrackd/tests/soak/words.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Fleet, FleetPlan};
 use crate::judge::{Verdict, served_after};
 use crate::series::play_seeds;
-use portrack_platform_standins::{Said, ServerWords};
+use portrack_platform_standins::{HintPeriod, ServerHints};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
@@ -72,18 +72,18 @@
         let limit = LIMITS[self.random.random_range(0..LIMITS.len())];
         let rest = Duration::from_millis(self.random.random_range(500..4_000));
         let leaves =
-            self.fleet.servers[server].said().last().is_some_and(|said| said.words.leaving);
+            self.fleet.servers[server].hint_history().last().is_some_and(|said| said.hints.leaving);
         if leaves {
-            self.fleet.servers[server].start_again();
+            self.fleet.servers[server].restart();
             return;
         }
         let words = match self.random.random_range(0..6) {
-            0..3 => ServerWords { limit: Some(limit), ..ServerWords::default() },
-            3 => ServerWords { leaving: true, ..ServerWords::default() },
-            4 => ServerWords { rest: Some(rest), ..ServerWords::default() },
-            _ => ServerWords::default(),
+            0..3 => ServerHints { limit: Some(limit), ..ServerHints::default() },
+            3 => ServerHints { leaving: true, ..ServerHints::default() },
+            4 => ServerHints { backoff: Some(rest), ..ServerHints::default() },
+            _ => ServerHints::default(),
         };
-        self.fleet.servers[server].say(words);
+        self.fleet.servers[server].set_hints(words);
     }
 
     async fn disturb(&mut self) {
@@ -133,7 +133,7 @@
     fn broken_at(&self, n: usize) -> Vec<String> {
         let server = &self.fleet.servers[n];
         let arrivals: Vec<Instant> = server.arrivals().iter().map(|arrival| arrival.at).collect();
-        let said = server.said();
+        let said = server.hint_history();
         let mut broken = Vec::new();
         for said in &said {
             let excused = |from, until| self.excused(from, until);
@@ -149,13 +149,13 @@
 
 /// What a server got although it had said otherwise, in words.
 fn judge(
-    said: &Said,
+    said: &HintPeriod,
     arrivals: &[Instant],
     excused: &dyn Fn(Instant, Instant) -> usize,
 ) -> Option<String> {
-    let heard = said.heard?;
+    let heard = said.first_sent?;
     let until = said.until.unwrap_or_else(Instant::now);
-    if let Some(limit) = said.words.limit {
+    if let Some(limit) = said.hints.limit {
         let spans =
             arrivals.iter().filter(|at| **at >= said.from + CONTACT && **at + SPAN <= until);
         let over = spans.filter_map(|from| {
@@ -167,13 +167,13 @@
         let (got, allowed) = over.max_by_key(|(got, _)| *got)?;
         return Some(format!("limit {limit}: {got} in a span, allowed {allowed:.1}"));
     }
-    if said.words.leaving {
+    if said.hints.leaving {
         let from = heard + DRAIN;
         let got = between(arrivals, from, until);
         let allowed = excused(from, until);
         return (got > allowed).then(|| format!("{got} to one that leaves, allowed {allowed}"));
     }
-    let rest = said.words.rest?;
+    let rest = said.hints.backoff?;
     // Counted in windows as long as the rest without its grace: each daemon sends one as a rest ends.
     let window = rest.saturating_sub(GRACE);
     let allowed = |from| MOST_IN_REST * DAEMONS + excused(from, from + window);
@@ -194,9 +194,9 @@
         play.step().await;
     }
     for server in &play.fleet.servers {
-        match server.said().last().is_some_and(|said| said.words.leaving) {
-            true => server.start_again(),
-            false => server.say(ServerWords::default()),
+        match server.hint_history().last().is_some_and(|said| said.hints.leaving) {
+            true => server.restart(),
+            false => server.set_hints(ServerHints::default()),
         }
     }
     let until = Instant::now() + SETTLE;
@@ -210,7 +210,7 @@
     let verdict = Verdict::of(&asked, &play.fleet.runs(), &play.fleet.names);
     let served = served_after(&asked, calm);
     let broken: Vec<String> = (0..SERVERS).flat_map(|n| play.broken_at(n)).collect();
-    let said: usize = play.fleet.servers.iter().map(|server| server.said().len()).sum();
+    let said: usize = play.fleet.servers.iter().map(|server| server.hint_history().len()).sum();
     let told =
         format!("seed {seed}: {:?}, {said} words, served when calm {served:.3}", verdict.ends);
     if verdict.is_clean() && broken.is_empty() && served >= SERVED_WHEN_CALM {
@@ -238,7 +238,7 @@
     actix_rt::time::sleep(SPAN).await;
     let named = Instant::now();
     for server in &fleet.servers[..2] {
-        server.say(ServerWords { limit: Some(1.0), ..ServerWords::default() });
+        server.set_hints(ServerHints { limit: Some(1.0), ..ServerHints::default() });
     }
     actix_rt::time::sleep(CONTACT).await;
     let from = Instant::now();
@@ -255,23 +255,27 @@
 fn what_comes_against_a_servers_word_is_seen() {
     let start = Instant::now();
     let after = |millis: u64| start + Duration::from_millis(millis);
-    let said =
-        |words| Said { words, from: start, heard: Some(after(100)), until: Some(after(20_000)) };
+    let said = |words| HintPeriod {
+        hints: words,
+        from: start,
+        first_sent: Some(after(100)),
+        until: Some(after(20_000)),
+    };
     let none = |_, _| 0;
     let judged = |words, arrivals: &[u64]| {
         let arrivals: Vec<Instant> = arrivals.iter().map(|millis| after(*millis)).collect();
         judge(&said(words), &arrivals, &none).is_some()
     };
-    let limited = ServerWords { limit: Some(1.0), ..ServerWords::default() };
+    let limited = ServerHints { limit: Some(1.0), ..ServerHints::default() };
     let burst: Vec<u64> = (0..12).map(|n| 4_000 + n * 100).collect();
     assert!(judged(limited, &burst) && !judged(limited, &burst[1..]));
     assert!(
         !judged(limited, &burst.iter().map(|at| at - 3_900).collect::<Vec<u64>>()),
         "too early"
     );
-    let leaving = ServerWords { leaving: true, ..ServerWords::default() };
+    let leaving = ServerHints { leaving: true, ..ServerHints::default() };
     assert!(judged(leaving, &[2_200]) && !judged(leaving, &[50, 1_900]));
-    let rest = ServerWords { rest: Some(Duration::from_secs(3)), ..ServerWords::default() };
+    let rest = ServerHints { backoff: Some(Duration::from_secs(3)), ..ServerHints::default() };
     let many: Vec<u64> = (0..9).map(|n| 700 + n * 10).collect();
     assert!(judged(rest, &many) && !judged(rest, &many[1..]));
 }
