--- a/crates/portrack/src/gateway/daemon.rs
+++ b/crates/portrack/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! One gateway daemon: the parts that its tasks share.
+//! The state that the tasks of a gateway daemon share.
 
 use crate::gateway::admission::{FreshnessProof, KeyFreshnessRules, Quotas};
 use crate::gateway::arrivals::{GrantDeps, GrantMetrics, Grants};
@@ -42,92 +42,92 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// What the daemon's tasks share.
+/// State shared by the tasks of one gateway daemon.
 pub struct GatewayDaemon {
-    /// The settings file.
+    /// Settings read at the start.
     pub settings: GatewaySettings,
     /// The monotonic clock.
     pub clock: Rc<dyn Clock>,
-    /// The platform's messages.
+    /// Translates the platform's messages.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
     pub store: Rc<dyn KvStore>,
-    /// The path of requests.
+    /// Serves callers' requests.
     pub handler: RequestHandler,
-    /// The copy of the store.
+    /// Local copy of the store.
     pub mirror: RefCell<Mirror>,
-    /// The store's era.
+    /// Tracks the era of the store.
     pub(super) eras: RefCell<EraTracker>,
-    /// The era in which another daemon was asked what it believes against the store's copy.
+    /// Era for which a peer was last asked for its retained items.
     pub(super) kept_asked: Cell<StoreEra>,
-    /// What the last peer told of a new era did not fit: everything is asked for next.
+    /// Set if the last update from a peer could not be applied: the next one must be a full copy.
     pub(super) wants_all: Cell<bool>,
     /// The other daemons.
     pub peers: Rc<RefCell<Peers>>,
     /// Orders to servers.
     pub order_executor: Rc<OrderExecutor>,
-    /// For datagrams.
+    /// Sends datagrams to other daemons.
     pub messenger: Rc<Messenger>,
-    /// Rises with every start.
+    /// Number of this start; higher with every start.
     pub incarnation: Incarnation,
-    /// When the store last answered, or this daemon's pause after that ended.
+    /// When the store last answered, or the end of the pause between two watches, if later.
     pub store_seen: Cell<Option<Time>>,
-    /// Requests being served.
+    /// Number of requests being served.
     pub in_flight: Cell<usize>,
-    /// When a stop was asked for.
+    /// When the stop began, if one was requested.
     pub stopping_since: Cell<Option<Time>>,
-    /// The stop is all but over: what is read now could not be finished.
+    /// Set near the end of a stop: a request read now could not be finished.
     pub(super) takes_no_more: Cell<bool>,
-    /// Which machine orders which server, as the store tells it.
+    /// Claims on servers, as recorded in the store.
     pub records: Rc<RefCell<ClaimRecords>>,
-    /// Which other daemon orders a server.
+    /// Looks up the daemon that holds the claim on a server.
     pub claim_holders: ClaimHolders,
-    /// This daemon watches the store itself.
+    /// Set while this daemon watches the store itself.
     pub watches: Cell<bool>,
-    /// From whom it learns what changes in the store.
+    /// Selects the source of store changes.
     pub(super) course: RefCell<SourceSelector>,
-    /// The other daemons as this one saw them at its last heartbeat.
+    /// The peers and their distances, as of the last heartbeat.
     pub(super) around: RefCell<Rc<PeerTopology>>,
-    /// The last look found news that is old.
+    /// Set if the copy of the store was stale at the last check.
     pub(super) news_old: Cell<bool>,
-    /// The last look found no proof that keys may be believed in.
+    /// Set if the last check found no proof fresh enough to accept keys.
     pub(super) proof_lost: Cell<bool>,
-    /// What it passes on to its followers.
+    /// Store changes forwarded to the followers of this daemon.
     pub(super) feed: FollowerFeed,
-    /// Woken when other daemons are heard again after this one was cut off.
+    /// Notified when datagrams from peers arrive again after this daemon was cut off.
     pub(super) reconnected: Notify,
-    /// Servers that nobody orders.
+    /// Servers without a live claim.
     pub unclaimed_servers: RefCell<UnclaimedServers>,
-    /// When this daemon began.
+    /// When this daemon started.
     pub started_at: Time,
-    /// Idle connections are to be closed.
+    /// Notifies connections to close once they are idle.
     pub closing: Rc<Notify>,
-    /// Idle connections are being closed.
+    /// Set once idle connections are being closed.
     pub closing_idle: Cell<bool>,
-    /// Everything counted.
+    /// The metrics of this daemon.
     pub metrics: GatewayMetrics,
 }
 
-/// Tells whether this daemon or one heard lately may order a server.
-fn is_ordered(
+/// Returns a predicate: whether this daemon or a live peer holds the claim on a server.
+fn claim_predicate(
     clock: Rc<dyn Clock>,
     order_executor: Rc<OrderExecutor>,
     claim_holders: ClaimHolders,
 ) -> Box<dyn Fn(&str) -> bool> {
     Box::new(move |server| {
         let now = clock.now();
-        let ours = order_executor.claims.borrow().may_order(now, server).is_some();
-        ours || claim_holders.address(now, server).is_some()
+        let own = order_executor.claims.borrow().may_order(now, server).is_some();
+        own || claim_holders.address(now, server).is_some()
     })
 }
 
-/// Of what is wrong with an entry so much is logged, in characters: another writer chose the text.
-const WHY_LENGTH: usize = 160;
-/// The store counts as reachable if it answered within this.
-const STORE_SEEN_WITHIN: Duration = Duration::from_millis(4_500);
+/// Logged characters of the reason why an entry is refused: it may quote text of another writer.
+const MAX_REASON_CHARS: usize = 160;
+/// The store counts as reachable for this long after an answer.
+const STORE_REACHABLE_FOR: Duration = Duration::from_millis(4_500);
 
 impl GatewayDaemon {
-    /// A daemon that knows nothing yet.
+    /// Creates a daemon with an empty copy of the store.
     pub fn new(
         settings: GatewaySettings,
         clock: Rc<dyn Clock>,
@@ -174,9 +174,10 @@
             incarnation.clone(),
             bounds.quota_slack,
         );
-        let course = SourceSelector::new(settings.members, SyncTimings::new(bounds.news_within()));
+        let source_selector =
+            SourceSelector::new(settings.members, SyncTimings::new(bounds.news_within()));
         let loads = Rc::new(LoadTable::default());
-        let (proof, coldness) = (Rc::<FreshnessProof>::default(), Rc::<RefCell<_>>::default());
+        let (proof, cold_starts) = (Rc::<FreshnessProof>::default(), Rc::<RefCell<_>>::default());
         let backpressure = Rc::new(Backpressure::new(BackpressureDeps {
             clock: clock.clone(),
             messenger: messenger.clone(),
@@ -184,13 +185,13 @@
             daemons: eligible_daemons.clone(),
             metrics: BackpressureMetrics {
                 limited: metrics.limited_servers.clone(),
-                unreadable: metrics.unreadable_words.clone(),
-                resting: metrics.resting_servers.clone(),
-                rests: metrics.rests.clone(),
+                unreadable: metrics.invalid_hints.clone(),
+                resting: metrics.backed_off_servers.clone(),
+                rests: metrics.backoffs.clone(),
                 full: metrics.full_servers.clone(),
             },
         }));
-        let leaving = LeavingDeps {
+        let leaving_deps = LeavingDeps {
             clock: clock.clone(),
             view: view.clone(),
             messenger: messenger.clone(),
@@ -211,7 +212,7 @@
             clock: clock.clone(),
             view: view.clone(),
             proof: proof.clone(),
-            coldness: coldness.clone(),
+            coldness: cold_starts.clone(),
             loads: loads.clone(),
             backpressure: backpressure.clone(),
             messenger: messenger.clone(),
@@ -254,11 +255,11 @@
             slots: Rc::new(slots),
             eligible_daemons,
             view_changed: Rc::new(Notify::new()),
-            coldness,
+            coldness: cold_starts,
             loads,
             pool,
             backpressure,
-            leaving: Rc::new(LeavingServers::new(leaving)),
+            leaving: Rc::new(LeavingServers::new(leaving_deps)),
             quarantine: Rc::new(quarantine),
             retries: RefCell::new(retries),
             demand: Rc::new(AdapterDemandTracker::default()),
@@ -267,7 +268,11 @@
             daemon_count: Cell::new(1),
             loads_are_delayed: Cell::new(false),
             held_back: metrics.held_back.clone(),
-            is_ordered: is_ordered(clock.clone(), order_executor.clone(), claim_holders.clone()),
+            is_ordered: claim_predicate(
+                clock.clone(),
+                order_executor.clone(),
+                claim_holders.clone(),
+            ),
         };
         Self {
             peers,
@@ -290,7 +295,7 @@
             records,
             claim_holders,
             watches: Cell::new(false),
-            course: RefCell::new(course),
+            course: RefCell::new(source_selector),
             around: RefCell::default(),
             news_old: Cell::new(false),
             proof_lost: Cell::new(false),
@@ -304,38 +309,38 @@
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// True once a stop was asked for.
+    /// True once a stop was requested.
     pub fn stopping(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// True if the store answered a moment ago.
+    /// True if the store answered recently.
     pub fn sees_store(&self) -> bool {
-        self.store_seen.get().is_some_and(|at| self.now().since(at) < STORE_SEEN_WITHIN)
+        self.store_seen.get().is_some_and(|at| self.now().since(at) < STORE_REACHABLE_FOR)
     }
 
-    /// How long ago the store answered last, in milliseconds; -1 if it never did.
+    /// Time since the store last answered, in milliseconds; -1 if it never did.
     pub fn store_age_ms(&self) -> i64 {
         let age = self.store_seen.get().map(|at| self.now().since(at).as_millis());
         age.and_then(|age| i64::try_from(age).ok()).unwrap_or(-1)
     }
 
-    /// How old the proof is that the configuration is the newest, in milliseconds; -1 for none.
+    /// Age of the proof that the configuration is the newest, in milliseconds; -1 without one.
     pub fn proof_age_ms(&self) -> i64 {
         self.staleness().millis()
     }
 
-    /// How old what this daemon knows of the store may be.
+    /// Upper bound on the age of this daemon's copy of the store.
     pub fn staleness(&self) -> Staleness {
         self.handler.staleness()
     }
 
-    /// Takes changes of the mirror in; `source` is for logs.
+    /// Applies changes of the mirror; `source` is logged.
     pub fn apply(self: &Rc<Self>, changes: Vec<MirrorChange>, source: &str) {
         self.update_era();
         let now = self.now();
@@ -347,7 +352,7 @@
                 continue;
             }
             let key = match &change {
-                MirrorChange::Put(held) => held.key.clone(),
+                MirrorChange::Put(entry) => entry.key.clone(),
                 MirrorChange::Removed(key) => key.clone(),
             };
             let applied = self.handler.view.borrow_mut().apply(learned_at, &*self.dialect, change);
@@ -355,7 +360,7 @@
                 Ok(changes) => {
                     changed |= !changes.is_empty();
                     for change in &changes {
-                        self.note(now, change, source);
+                        self.on_view_change(now, change, source);
                         self.apply_evacuation_change(now, change, source);
                     }
                 }
@@ -371,28 +376,30 @@
         }
     }
 
-    /// A server itself has told of a life that the store has not told of yet.
+    /// Handles a server's own report of an incarnation that is not in the store yet.
     pub(in crate::gateway) fn on_newer_incarnation(self: &Rc<Self>, server: &Rc<str>, born: u64) {
         let changes = self.handler.view.borrow_mut().on_newer_incarnation(server, born);
         let now = self.now();
         for change in &changes {
-            self.note(now, change, SOURCE_REPORT);
+            self.on_view_change(now, change, SOURCE_REPORT);
             self.apply_evacuation_change(now, change, SOURCE_REPORT);
         }
         self.handler.view_changed.notify_waiters();
     }
 
-    /// Follows up what servers themselves say of their leaving, for ever.
-    pub(in crate::gateway) async fn see_to_leaving(self: Rc<Self>) {
+    /// Applies servers' own announcements that they are leaving, until the process ends.
+    pub(in crate::gateway) async fn run_leaving_updates(self: Rc<Self>) {
         loop {
             let changes = self.handler.leaving.changes().await;
             let now = self.now();
-            changes.iter().for_each(|(change, source)| self.note(now, change, source.name()));
+            changes
+                .iter()
+                .for_each(|(change, source)| self.on_view_change(now, change, source.name()));
             self.handler.view_changed.notify_waiters();
         }
     }
 
-    /// Takes in the head of an answer to an order, or to a question for a report.
+    /// Handles the response head of an order or of a report request.
     pub(in crate::gateway) fn on_call_answered(&self, server: &str, head: &ResponseHead) {
         let backend = self.handler.view.borrow().backend(server).cloned();
         let Some(backend) = backend else { return };
@@ -400,7 +407,7 @@
         self.handler.leaving.on_response(&backend, head.meta.leaving);
     }
 
-    fn note(self: &Rc<Self>, now: Time, change: &ViewChange, source: &str) {
+    fn on_view_change(self: &Rc<Self>, now: Time, change: &ViewChange, source: &str) {
         let view = self.handler.view.borrow();
         let mut planner = self.order_executor.planner.borrow_mut();
         match change {
@@ -413,8 +420,8 @@
             }
             ViewChange::Backend(id) => {
                 if let Some(backend) = view.backend(id) {
-                    let entry = EntrySource::of(source);
-                    self.handler.coldness.borrow_mut().on_entry(now, backend, entry);
+                    let entry_source = EntrySource::of(source);
+                    self.handler.coldness.borrow_mut().on_entry(now, backend, entry_source);
                     self.handler.loads.set_incarnation(id, backend.incarnation_hash());
                     self.handler.loads.set_one_cold(id, self.cold_server(now, &view, backend));
                     planner.update_server(now, backend);
@@ -432,7 +439,7 @@
                 planner.server_restarted(now, server);
                 self.handler.pool.close_server(server);
                 self.order_executor.forget(server);
-                self.metrics.servers_born_again.inc();
+                self.metrics.servers_restarted.inc();
                 let (born, before) = (view.born(server).unwrap_or(0), before.unwrap_or(0));
                 log::info!(server = &**server, born = born, before = before, source = source; "server_born_again");
             }
@@ -440,8 +447,8 @@
                 log::info!(server = &**id, source = source; "server_entry_older");
             }
             ViewChange::BackendRefused { server, why } => {
-                let why: String = why.chars().take(WHY_LENGTH).collect();
-                log::warn!(server:? = server, why = why.as_str(), source = source; "server_entry_refused");
+                let reason: String = why.chars().take(MAX_REASON_CHARS).collect();
+                log::warn!(server:? = server, why = reason.as_str(), source = source; "server_entry_refused");
             }
             ViewChange::BackendGone(id) => {
                 planner.server_gone(id);
--- a/crates/portrack/src/gateway/dialect.rs
+++ b/crates/portrack/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! What the gateway asks of a platform's adapter: translation of messages, nothing else.
+//! The interface to a platform: translation of messages between the platform and the gateway.
 
 use crate::gateway::admission::Credential;
 use crate::gateway::backpressure::backoff_hint::BackoffHint;
@@ -10,217 +10,219 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One thing that the platform's store tells.
+/// A decoded item of the platform's store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Item {
     /// The operators' configuration.
     Config(Box<FleetConfig>),
     /// A backend server.
     Backend(Box<Backend>),
-    /// The newest version of an adapter.
+    /// The newest announced version of an adapter.
     AdapterVersion(AdapterKey, u64),
-    /// The operators have a data hall evacuated, for as long as this is in the store.
+    /// A data hall is evacuated for as long as this item is in the store.
     EvacuatedHall(Rc<str>),
 }
 
-/// What a key of the store stands for when it is removed.
+/// What a key of the store identifies. Unlike [`Item`], it is known without the value, also for a
+/// removed key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemKey {
     /// The operators' configuration.
     Config,
     /// A backend server, by its id.
     Backend(Rc<str>),
-    /// The newest version of an adapter.
+    /// The newest announced version of an adapter.
     AdapterVersion,
-    /// That a data hall is evacuated, by the hall's name.
+    /// The evacuation of a data hall, by the hall's name.
     EvacuatedHall(Rc<str>),
-    /// Nothing that the gateway knows.
+    /// A key that the gateway does not use.
     Unknown,
 }
 
-/// An adapter of a model.
+/// Identifies an adapter of a base model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AdapterKey {
-    /// The base model.
+    /// Name of the base model.
     pub model: Rc<str>,
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: Rc<str>,
 }
 
-/// What a request for a model asks for.
+/// The part of a request's metadata that concerns the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelRequest {
     /// The base model.
     pub model: Rc<str>,
     /// The adapter, if any.
     pub adapter: Option<Rc<str>>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub output_tokens: u64,
-    /// The caller's guess of the tokens to come out.
+    /// The caller's estimate of the number of generated tokens.
     pub expected_tokens: Option<u64>,
-    /// Parts of the prompt in order: identity and tokens.
+    /// Identity and number of tokens of each prompt part, in order.
     pub prefix: Vec<(u64, u32)>,
 }
 
-/// What the gateway reads of a request's headers.
+/// Metadata read from a request's headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMeta {
-    /// The id of the caller's attempt.
+    /// Id of the caller's attempt.
     pub id: Rc<str>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub patience: Option<Duration>,
-    /// The model asked for.
+    /// The requested model.
     pub model: Option<ModelRequest>,
-    /// The tokens of its prompt and the most that it may generate, together, if it tells them.
+    /// Sum of prompt tokens and maximum generated tokens, if the headers give both.
     pub tokens: Option<u64>,
-    /// What the caller shows to be let in.
+    /// The caller's credential.
     pub credential: Credential,
 }
 
-/// What the gateway sets on a request that it sends to a server.
+/// Metadata that the gateway writes into a request to a server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ForwardMeta<'a> {
-    /// What is left of the caller's time.
+    /// Time left until the caller's deadline.
     pub time_left: Option<Duration>,
-    /// The server meant.
+    /// Id of the intended server.
     pub instance: &'a str,
-    /// 0 is admitted first, 9 last.
+    /// Urgency from 0 (admitted first) to 9 (admitted last).
     pub urgency: Option<u8>,
-    /// The version of the adapter that must be in use.
+    /// The adapter version that the server must run the request on.
     pub adapter_version: Option<u64>,
-    /// The last event that the caller has.
+    /// Id of the last stream event that the caller received.
     pub last_event: Option<&'a str>,
-    /// The organisation whose key the caller holds.
+    /// The organisation of the caller's key.
     pub organisation: Option<&'a str>,
-    /// Callers show keys here, which no server is to see.
+    /// Removes the caller's credential, which servers must not see.
     pub withholds_key: bool,
 }
 
-/// What an answer's headers say of it.
+/// Metadata read from a response's headers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResponseMeta {
-    /// The request it belongs to.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// It carries the server's signature.
+    /// True if the response has a server signature.
     pub signed: bool,
-    /// The server says that it did not run the request.
+    /// True if the server declares that it did not run the request.
     pub not_run: bool,
-    /// How many requests a second the server takes, if it says so.
+    /// The request rate that the server accepts, in requests per second.
     pub limit: LimitHint,
-    /// The server says that it is leaving.
+    /// True if the server announces that it is leaving.
     pub leaving: bool,
-    /// For how long it wants nothing, if it turns the request away.
+    /// How long to send nothing to the server, if it rejects the request.
     pub rest: BackoffHint,
 }
 
-/// What a server is to do.
+/// The operation of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OrderKind {
     /// Load a base model or an adapter.
     Load,
-    /// Drop it.
+    /// Unload a base model or an adapter.
     Unload,
 }
 
-/// An order to a server.
+/// An order to a server to load or unload a base model or an adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Load or drop.
+    /// The operation.
     pub kind: OrderKind,
     /// The base model.
     pub model: Rc<str>,
-    /// The adapter; the base model itself if left out.
+    /// The adapter; `None` for the base model itself.
     pub adapter: Option<Rc<str>>,
-    /// The version to load; the newest if left out.
+    /// The version to load; `None` for the newest.
     pub version: Option<u64>,
-    /// The daemon that orders.
+    /// The daemon that sends the order and holds the claim.
     pub holder: Rc<str>,
-    /// Its fencing token.
+    /// Fencing token of the claim.
     pub fence: u64,
-    /// The number of orders that the server must have taken before; any if left out.
+    /// The server must have accepted exactly this many orders before; `None` for no condition.
     pub expected: Option<u64>,
 }
 
-/// What a server reports of itself, as it stood a moment ago.
+/// A server's report of its own state at the time of the response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServerReport {
-    /// The start of the life that it is of; see [`Backend::born`].
+    /// Start of the reporting incarnation; see [`Backend::born`].
     pub born: Option<u64>,
-    /// Orders taken.
+    /// Number of orders accepted by this incarnation.
     pub orders_taken: u64,
-    /// The base models it holds.
+    /// Loaded base models.
     pub models: Vec<Rc<str>>,
-    /// The adapters it holds, with their versions.
+    /// Loaded adapters with their versions.
     pub held: Vec<(AdapterKey, u64)>,
-    /// The adapters on their way, with their versions.
+    /// Adapters that are being loaded, with their versions.
     pub pending: Vec<(AdapterKey, u64)>,
-    /// Requests that run there or wait to run.
+    /// Number of running and queued requests.
     pub requests: u32,
 }
 
-/// How a server answers an order.
+/// A server's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The order is being carried out.
     Accepted,
-    /// It already holds.
+    /// The requested state already holds.
     Holds,
-    /// Another order is under way.
+    /// The server cannot take the order now, for example because another one is in progress.
     Busy,
-    /// Refused for good.
+    /// The server refused the order; sending it again does not help.
     Refused,
-    /// Another server has the address.
+    /// A different server listens on the address.
     Elsewhere,
 }
 
-/// A message that cannot be translated.
+/// Error for a message that cannot be translated.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum DialectError {
-    /// A body that is not in the platform's form.
+    /// The message does not have the platform's format.
     #[snafu(display("{what}: {message}"))]
     Malformed {
-        /// Which message.
+        /// Names the message.
         what: String,
-        /// What is wrong with it.
+        /// Describes the problem.
         message: String,
     },
 }
 
 /// Translates between the platform's messages and the gateway's types.
 pub trait Dialect {
-    /// The prefix of the store to follow, with everything that [`Dialect::key`] knows.
+    /// Key prefix to watch in the store; it covers every key that [`Dialect::key`] recognises.
     fn prefix(&self) -> &'static str;
-    /// What a key stands for.
+    /// Returns what a key identifies.
     fn key(&self, key: &str) -> ItemKey;
-    /// Reads a value of the store; `None` for what the gateway does not use.
+    /// Decodes a value of the store; `None` if the gateway does not use it.
     fn item(&self, key: &str, value: &[u8]) -> Result<Option<Item>, DialectError>;
-    /// A value of the store with digests in place of callers' keys, as it is kept and handed on.
+    /// Replaces callers' keys in a value of the store by digests. Only the result is stored locally and
+    /// sent to other daemons.
     fn without_keys(&self, key: &str, value: Vec<u8>) -> Result<Vec<u8>, DialectError>;
-    /// Reads a request's headers.
+    /// Decodes a request's headers.
     fn request(&self, headers: &HeaderMap) -> Result<RequestMeta, DialectError>;
-    /// True for a header that the gateway sets itself, in lower case.
+    /// True for a request header that the gateway sets itself; `name` is in lower case.
     fn is_set_by_us(&self, name: &str) -> bool;
     /// True for the header that carries a caller's key.
     fn is_credential(&self, name: &str) -> bool;
-    /// Appends the gateway's headers of a request to a server.
+    /// Appends the gateway's own headers of a request to a server.
     fn write_forward(&self, meta: &ForwardMeta<'_>, out: &mut Vec<u8>);
-    /// Takes note of a header of an answer.
+    /// Records a response header in `meta`.
     fn response_header(&self, name: &str, value: &str, meta: &mut ResponseMeta);
-    /// The last event that a caller says it has.
+    /// Id of the last stream event that the caller received.
     fn last_event(&self, headers: &HeaderMap) -> Option<String>;
-    /// The path of the readiness check.
+    /// Path of the readiness check.
     fn readiness_path(&self) -> &'static str;
-    /// The path and body of an order.
+    /// Path and body of an order.
     fn order(&self, order: &Order) -> (&'static str, Vec<u8>);
-    /// The header and value that name the server meant by an order.
+    /// Header and value that name the intended server of an order.
     fn order_target(&self, instance: &str) -> (&'static str, String);
-    /// The path of a server's report.
+    /// Path of a server's report.
     fn report_path(&self) -> &'static str;
-    /// Reads a server's report.
+    /// Decodes a server's report.
     fn report(&self, body: &[u8]) -> Result<ServerReport, DialectError>;
-    /// Reads the answer to an order.
+    /// Decodes the response status of an order.
     fn order_answer(&self, status: u16) -> OrderAnswer;
 }
--- a/crates/portrack/src/gateway/hex.rs
+++ b/crates/portrack/src/gateway/hex.rs
@@ -1,13 +1,13 @@
-//! Bytes as text in logs, keys of the store and stored values: two digits each.
+//! Hexadecimal encoding of bytes in logs, store keys and stored values.
 
 use std::fmt;
 
-/// Writes bytes.
+/// Writes bytes as lower-case hexadecimal digits.
 pub fn write(bytes: &[u8], out: &mut fmt::Formatter<'_>) -> fmt::Result {
     bytes.iter().try_for_each(|byte| write!(out, "{byte:02x}"))
 }
 
-/// Reads so many bytes; `None` for a text that is not just these.
+/// Parses exactly `N` bytes; `None` for any other text.
 pub fn read<const N: usize>(text: &str) -> Option<[u8; N]> {
     if text.len() != 2 * N || !text.is_ascii() {
         return None;
--- a/crates/portrack/src/gateway/mod.rs
+++ b/crates/portrack/src/gateway/mod.rs
@@ -1,4 +1,5 @@
-//! The gateway: serves callers on the users' machines, word by word, over one request path.
+//! The gateway: receives callers' requests and forwards each to a backend server, streaming the
+//! response.
 
 mod admission;
 mod arrivals;
--- a/crates/portrack/src/gateway/run.rs
+++ b/crates/portrack/src/gateway/run.rs
@@ -17,41 +17,41 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// After a stop was asked for, idle connections are kept this long: by then the balancer sends no
-/// new ones.
-const IDLE_KEPT: Duration = Duration::from_millis(2_600);
-/// Kept back of the time to stop.
+/// How long idle connections are kept open after a stop request. By then the balancer opens no new
+/// connections.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_600);
+/// Part of the stop time that is reserved for the steps after waiting for running requests.
 const STOP_RESERVE: Duration = Duration::from_millis(700);
-/// For giving up the servers at the end of a stop.
-const RESIGN: Duration = Duration::from_millis(300);
-/// Then for writing the refusals of requests that came meanwhile.
-const REFUSED_WITHIN: Duration = Duration::from_millis(200);
-/// Between looks at what is still running.
-const STOP_LOOK: Duration = Duration::from_millis(25);
-/// Between sweeps of what is kept.
-const SWEEP: Duration = Duration::from_millis(1_000);
-
-/// Why a daemon did not start.
+/// Timeout for giving up the claims on servers at the end of a stop.
+const RESIGN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after that for writing the refusals of requests that arrived in the meantime.
+const REFUSALS_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval between checks for running requests during a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval between sweeps of expired state.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// An error that keeps a daemon from starting.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// An address cannot be listened on.
-    #[snafu(display("{what} {address}: {source}"))]
+    /// A listener cannot be bound to its address.
+    #[snafu(display("cannot listen on {what} address {address}: {source}"))]
     Listen {
-        /// Which listener.
+        /// The name of the listener.
         what: &'static str,
         /// Its address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct RunningGateway {
     daemon: Rc<GatewayDaemon>,
 }
 
-/// Starts a daemon.
+/// Binds the listeners and starts the tasks of a daemon.
 pub async fn start_gateway(
     mut settings: GatewaySettings,
     clock: Rc<dyn Clock>,
@@ -77,9 +77,9 @@
     );
     let daemon = GatewayDaemon::new(settings, clock, dialect, store, socket, Incarnation::now());
     let daemon = Rc::new(daemon);
-    let hearing = Rc::downgrade(&daemon);
+    let weak_daemon = Rc::downgrade(&daemon);
     daemon.order_executor.set_response_hook(Box::new(move |server, head| {
-        if let Some(daemon) = hearing.upgrade() {
+        if let Some(daemon) = weak_daemon.upgrade() {
             daemon.on_call_answered(server, head);
         }
     }));
@@ -100,17 +100,18 @@
     actix_rt::spawn(daemon.clone().renew_lease());
     actix_rt::spawn(daemon.clone().plan_steps());
     actix_rt::spawn(daemon.clone().run_evacuations());
-    actix_rt::spawn(daemon.clone().see_to_leaving());
+    actix_rt::spawn(daemon.clone().run_leaving_updates());
     actix_rt::spawn(daemon.clone().sweep());
     actix_rt::spawn(daemon.clone().accept_callers(callers));
-    actix_rt::spawn(answer_readiness(daemon.clone(), readiness));
+    actix_rt::spawn(serve_readiness(daemon.clone(), readiness));
     if let Some(listener) = metrics {
-        actix_rt::spawn(answer_metrics(daemon.clone(), listener));
+        actix_rt::spawn(serve_metrics(daemon.clone(), listener));
     }
     Ok(RunningGateway { daemon })
 }
 
-/// Listens, and tells the address with its port if that was left to the system.
+/// Binds a listener and returns it with its address; port 0 is replaced by the port that the system
+/// assigned.
 async fn listen(
     what: &'static str,
     address: SocketAddr,
@@ -120,12 +121,12 @@
     Ok((listener, bound))
 }
 
-async fn answer_readiness(daemon: Rc<GatewayDaemon>, listener: TcpListener) {
+async fn serve_readiness(daemon: Rc<GatewayDaemon>, listener: TcpListener) {
     let answer = move |request: Request| {
         let daemon = daemon.clone();
         async move {
-            let asked = request.path() == daemon.dialect.readiness_path();
-            let status = match (asked, daemon.is_ready()) {
+            let is_known_path = request.path() == daemon.dialect.readiness_path();
+            let status = match (is_known_path, daemon.is_ready()) {
                 (false, _) => StatusCode::NOT_FOUND,
                 (true, true) => StatusCode::OK,
                 (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -136,7 +137,7 @@
     serve(listener, Limits::default(), answer).await;
 }
 
-async fn answer_metrics(daemon: Rc<GatewayDaemon>, listener: TcpListener) {
+async fn serve_metrics(daemon: Rc<GatewayDaemon>, listener: TcpListener) {
     let answer = move |_request: Request| {
         let daemon = daemon.clone();
         async move { plain(StatusCode::OK, daemon.metrics.text()) }
@@ -145,24 +146,25 @@
 }
 
 impl GatewayDaemon {
-    /// True while new callers are wanted. A daemon that can believe in no key leaves them to others.
+    /// True while the balancer should send new callers here. A daemon that has no proof fresh enough to
+    /// accept keys is not ready, so that callers go to other daemons.
     pub fn is_ready(&self) -> bool {
         let view = self.handler.view.borrow();
-        let serves = view
+        let can_serve = view
             .config()
             .is_some_and(|config| config.organisations.is_none() || self.handler.accepts_keys());
-        !self.stopping() && serves
+        !self.stopping() && can_serve
     }
 
     async fn sweep(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(SWEEP).await;
+            actix_rt::time::sleep(SWEEP_INTERVAL).await;
             let now: Time = self.now();
             self.handler.pool.close_unusable();
             self.order_executor.sweep();
             self.order_executor.planner.borrow_mut().sweep(now);
             self.handler.view.borrow_mut().adapter_locations.expire_notices(now);
-            self.forget_limits();
+            self.remove_stale_limits();
             self.metrics.in_flight.set(self.in_flight.get() as i64);
             self.check_proof();
         }
@@ -170,51 +172,51 @@
 }
 
 impl GatewayDaemon {
-    /// Forgets what servers said that are gone.
-    fn forget_limits(&self) {
+    /// Drops the limits and backoffs of server incarnations that no longer exist.
+    fn remove_stale_limits(&self) {
         let view = self.handler.view.borrow();
-        let marks: HashSet<u32> =
+        let hashes: HashSet<u32> =
             view.backends().map(|backend| backend.incarnation_hash()).collect();
-        self.handler.backpressure.retain(|server| marks.contains(&server));
+        self.handler.backpressure.retain(|server| hashes.contains(&server));
     }
 
-    /// Waits for the refusals of requests that came at the very end of a stop.
-    async fn end_refusals(&self) {
+    /// Waits until requests that arrived at the end of a stop have been refused.
+    async fn wait_for_refusals(&self) {
         let began = self.now();
-        while self.in_flight.get() > 0 && self.now().since(began) < REFUSED_WITHIN {
-            actix_rt::time::sleep(STOP_LOOK).await;
+        while self.in_flight.get() > 0 && self.now().since(began) < REFUSALS_TIMEOUT {
+            actix_rt::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
 
 impl RunningGateway {
-    /// Where callers connect.
+    /// The address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.daemon.settings.callers
     }
 
-    /// Where readiness is asked.
+    /// The address of the readiness check.
     pub fn readiness(&self) -> SocketAddr {
         self.daemon.settings.readiness
     }
 
-    /// Where other daemons reach it.
+    /// The address for other daemons.
     pub fn members(&self) -> SocketAddr {
         self.daemon.settings.members
     }
 
-    /// How old what the daemon knows of the store may be.
+    /// Upper bound on the age of the daemon's copy of the store.
     pub fn staleness(&self) -> Staleness {
         self.daemon.staleness()
     }
 
-    /// Tells the daemon of another one.
+    /// Adds the address of another daemon to try.
     pub fn introduce(&self, peer: SocketAddr) {
         self.daemon.peers.borrow_mut().add_candidate(peer);
     }
 
-    /// Stops: refuses readiness at once, finishes what runs, and returns what could not be
-    /// finished in time.
+    /// Stops the daemon: fails readiness checks at once, waits for running requests, and returns the
+    /// number of requests that were not finished in time.
     pub async fn stop(self) -> usize {
         let daemon = &self.daemon;
         let began = daemon.now();
@@ -225,22 +227,23 @@
         daemon.beat();
         loop {
             let passed = daemon.now().since(began);
-            if passed >= IDLE_KEPT && !daemon.closing_idle.get() {
+            if passed >= IDLE_CLOSE_DELAY && !daemon.closing_idle.get() {
                 daemon.closing_idle.set(true);
                 daemon.closing.notify_waiters();
             }
-            let idle = daemon.in_flight.get() == 0 && passed >= IDLE_KEPT + STOP_LOOK * 4;
+            let idle =
+                daemon.in_flight.get() == 0 && passed >= IDLE_CLOSE_DELAY + STOP_POLL_INTERVAL * 4;
             if idle || passed >= within {
                 break;
             }
-            actix_rt::time::sleep(STOP_LOOK).await;
+            actix_rt::time::sleep(STOP_POLL_INTERVAL).await;
         }
-        // Nothing may be sent to a server between here and the end of the process.
+        // From here to the end of the process nothing may be sent to a server.
         daemon.takes_no_more.set(true);
-        if actix_rt::time::timeout(RESIGN, daemon.resign()).await.is_err() {
-            log::warn!(after_ms = RESIGN.as_millis() as u64; "servers_not_given_up");
+        if actix_rt::time::timeout(RESIGN_TIMEOUT, daemon.resign()).await.is_err() {
+            log::warn!(after_ms = RESIGN_TIMEOUT.as_millis() as u64; "servers_not_given_up");
         }
-        daemon.end_refusals().await;
+        daemon.wait_for_refusals().await;
         let left = daemon.in_flight.get();
         log::info!(left = left, took_ms = daemon.now().since(began).as_millis() as u64; "stop");
         left
--- a/crates/portrack/src/gateway/settings.rs
+++ b/crates/portrack/src/gateway/settings.rs
@@ -10,44 +10,45 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What a gateway daemon must know before it can reach anybody. Unknown keys are ignored.
+/// Settings that a gateway daemon needs before it can reach the store or other daemons. Unknown keys
+/// are ignored.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct GatewaySettings {
-    /// This daemon's name.
+    /// Name of this node.
     pub node: String,
-    /// Its data hall.
+    /// Data hall of this node.
     pub hall: String,
-    /// The region of each data hall, this daemon's own among them; all are of one region if left out.
+    /// Region of each data hall, including this node's own; if left out, all halls are in one region.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Listen address for the balancer's readiness check.
     pub readiness: SocketAddr,
-    /// Where other daemons reach it, over UDP and TCP.
+    /// Listen address for other daemons, over UDP and TCP.
     pub members: SocketAddr,
-    /// Where metrics are read; none if left out.
+    /// Listen address for metrics; not served if left out.
     pub metrics: Option<SocketAddr>,
-    /// Addresses of daemons to ask first; their ports are not used.
+    /// Addresses of daemons to contact first; their ports are ignored.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The key-value service, `host:port`.
+    /// Address of the key-value store, as `ip:port`.
     pub store: String,
-    /// The bounds it is run under.
+    /// Time bounds and rates set by the deployment.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What its node gives it.
+    /// Resources that the node gives the daemon.
     #[serde(default)]
     pub limits: NodeLimits,
 }
 
-/// What a node gives its daemon.
+/// Resources that a node gives its daemon.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct NodeLimits {
-    /// The share of a core.
+    /// Share of a CPU core.
     pub cpu_share: f64,
-    /// The bandwidth of the node's link, in Mbit/s.
+    /// Bandwidth of the node's network link, in Mbit/s.
     pub link_mbps: f64,
 }
 
@@ -58,43 +59,44 @@
 }
 
 impl NodeLimits {
-    /// How much work for others a node is suited to, compared with others of its fleet.
+    /// Relative weight for the assignment of shared tasks to the nodes of a fleet.
     pub fn capacity(&self) -> u32 {
         (self.cpu_share * self.link_mbps).round() as u32
     }
 }
 
-/// Times and shares that the deployment sets.
+/// Time bounds and rates set by the deployment.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Retries as a share of requests.
+    /// Allowed retries as a fraction of requests.
     pub retry_ratio: f64,
-    /// Retries allowed besides, over all daemons.
+    /// Additional allowed retries, over all daemons.
     pub retry_slack: f64,
-    /// The window in which retries are counted, in seconds.
+    /// Window over which retries are counted, in seconds.
     pub retry_window_s: f64,
-    /// After a request to stop, the process may run this long, in seconds.
+    /// Maximum run time of the process after a stop request, in seconds.
     pub stop_within_s: f64,
-    /// Between the last order of one holder and the first of the next, in milliseconds.
+    /// Minimum time between the last order of one claim holder and the first of the next, in
+    /// milliseconds.
     pub order_quiet_ms: u64,
-    /// The lease that the right to order servers hangs on, in milliseconds.
+    /// Time to live of the lease that claims on servers depend on, in milliseconds.
     pub lease_ttl_ms: u64,
-    /// A server that says it is leaving gets no new work after this, in milliseconds.
+    /// Time after which a server that announced that it is leaving gets no new requests, in milliseconds.
     pub drain_ms: u64,
-    /// An accepted configuration is in force everywhere after this, in milliseconds.
+    /// Time after which an accepted configuration is in force everywhere, in milliseconds.
     pub config_within_ms: u64,
-    /// A key that was taken away works nowhere after this, in milliseconds, also at daemons that are
-    /// cut off; no such bound if left out.
+    /// Time after which a revoked key works nowhere, not even at daemons that are cut off, in
+    /// milliseconds; no such bound if left out.
     pub revoke_within_ms: Option<u64>,
-    /// What an organisation may send beyond its quota in a window, whatever its size, in the quota's
-    /// unit.
+    /// Amount that an organisation may send beyond its quota in any window, whatever its size, in the
+    /// quota's unit.
     pub quota_slack: f64,
-    /// A data hall's servers get nothing new so long after it was evacuated, in milliseconds.
+    /// Time after which the servers of an evacuated data hall get no new requests, in milliseconds.
     pub evacuate_within_ms: u64,
-    /// In any second a cold server gets no more requests than so many times what it bears.
+    /// Allowed requests to a cold server in any second, as a multiple of its configured cold rate.
     pub cold_ratio: f64,
-    /// Requests that it may get besides in that second.
+    /// Additional allowed requests to a cold server in any second.
     pub cold_slack: f64,
 }
 
@@ -119,20 +121,21 @@
 }
 
 impl Bounds {
-    /// How soon news from the store must be known.
+    /// Time within which a change in the store must be known here: the shortest of the bounds that
+    /// depend on it.
     pub fn news_within(&self) -> Duration {
-        let soonest = self.drain_ms.min(self.config_within_ms).min(self.evacuate_within_ms);
-        Duration::from_millis(soonest)
+        let shortest = self.drain_ms.min(self.config_within_ms).min(self.evacuate_within_ms);
+        Duration::from_millis(shortest)
     }
 }
 
 impl GatewaySettings {
-    /// The regions of the data halls, seen from this daemon.
+    /// Regions of the data halls, relative to this node's hall.
     pub fn regions(&self) -> Regions {
         Regions::new(&self.hall, &self.regions)
     }
 
-    /// This daemon as others know it.
+    /// Describes this daemon as a member of the fleet.
     pub fn as_daemon(&self) -> DaemonInfo {
         DaemonInfo {
             address: self.members,
@@ -142,17 +145,17 @@
         }
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| SettingsError::Read { file: file.into(), source })?;
         Self::parse(file, &text)
     }
 
-    /// Checks a file's text; `file` only names it in errors.
+    /// Parses and validates the text of a settings file; `file` is only used in errors.
     pub fn parse(file: &Path, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = crate::settings::parse_toml(file, text)?;
-        match settings.problem() {
+        match settings.find_problem() {
             None => Ok(settings),
             Some((key, message)) => Err(SettingsError::Invalid {
                 file: file.into(),
@@ -163,19 +166,20 @@
         }
     }
 
-    fn problem(&self) -> Option<(&'static str, &'static str)> {
+    /// Returns the key of the first invalid setting and what is wrong with it.
+    fn find_problem(&self) -> Option<(&'static str, &'static str)> {
         let bounds = &self.bounds;
         if self.node.is_empty() {
             return Some(("node", "is empty"));
         }
         if self.store.parse::<SocketAddr>().is_err() {
-            return Some(("store", "is no address and port"));
+            return Some(("store", "is not an IP address and port"));
         }
         if !(0.0..=10.0).contains(&bounds.retry_ratio) {
             return Some(("retry_ratio", "is not between 0 and 10"));
         }
         if !(bounds.retry_slack >= 0.0 && bounds.retry_slack.is_finite()) {
-            return Some(("retry_slack", "is negative or no number"));
+            return Some(("retry_slack", "is negative or not a number"));
         }
         if !(0.1..=3_600.0).contains(&bounds.retry_window_s) {
             return Some(("retry_window_s", "is not between 0.1 and 3600"));
@@ -192,27 +196,27 @@
         if !(self.limits.link_mbps > 0.0 && self.limits.link_mbps.is_finite()) {
             return Some(("link_mbps", "is not above 0"));
         }
-        let sensible = 500..=60_000;
-        if !sensible.contains(&bounds.drain_ms) {
+        let allowed_ms = 500..=60_000;
+        if !allowed_ms.contains(&bounds.drain_ms) {
             return Some(("drain_ms", "is not between 500 and 60000"));
         }
-        if !sensible.contains(&bounds.config_within_ms) {
+        if !allowed_ms.contains(&bounds.config_within_ms) {
             return Some(("config_within_ms", "is not between 500 and 60000"));
         }
-        if !sensible.contains(&bounds.evacuate_within_ms) {
+        if !allowed_ms.contains(&bounds.evacuate_within_ms) {
             return Some(("evacuate_within_ms", "is not between 500 and 60000"));
         }
         if !(bounds.cold_ratio >= 0.0 && bounds.cold_ratio.is_finite()) {
-            return Some(("cold_ratio", "is negative or no number"));
+            return Some(("cold_ratio", "is negative or not a number"));
         }
         if !(bounds.cold_slack >= 0.0 && bounds.cold_slack.is_finite()) {
-            return Some(("cold_slack", "is negative or no number"));
+            return Some(("cold_slack", "is negative or not a number"));
         }
         if !(bounds.quota_slack >= 0.0 && bounds.quota_slack.is_finite()) {
-            return Some(("quota_slack", "is negative or no number"));
+            return Some(("quota_slack", "is negative or not a number"));
         }
-        let keys = 2_000..=60_000;
-        if bounds.revoke_within_ms.is_some_and(|within| !keys.contains(&within)) {
+        let allowed_ms = 2_000..=60_000;
+        if bounds.revoke_within_ms.is_some_and(|within| !allowed_ms.contains(&within)) {
             return Some(("revoke_within_ms", "is not between 2000 and 60000"));
         }
         None
@@ -220,6 +224,6 @@
 }
 
 fn line_of(text: &str, key: &str) -> usize {
-    let sets = |line: &str| line.trim_start().starts_with(key);
-    text.lines().position(sets).map_or(1, |at| at + 1)
+    let sets_key = |line: &str| line.trim_start().starts_with(key);
+    text.lines().position(sets_key).map_or(1, |at| at + 1)
 }
--- a/crates/portrackd/src/gateway.rs
+++ b/crates/portrackd/src/gateway.rs
@@ -50,7 +50,7 @@
         return ExitCode::from(FAILED);
     };
     let inlet = LogSink::start_writer(std::io::stdout());
-    actix_rt::spawn(sink.clone().hand_over_always(inlet.clone()));
+    actix_rt::spawn(sink.clone().hand_over_periodically(inlet.clone()));
     let store = Rc::new(PlatformStore::new(&settings.store));
     let clock = Rc::new(BootClock);
     let started = start_gateway(settings.clone(), clock, Rc::new(PlatformDialect), store).await;
