--- a/crates/portrack-cli/src/commands/settings.rs
+++ b/crates/portrack-cli/src/commands/settings.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::failure::Failure;
 use crate::output::{Output, table};
-use portrack::settings::{Accepted, Edit, Explained, KEYS, Overrides, TreePath};
+use portrack::settings::{Accepted, Edit, Explanation, KEYS, Overrides, TreePath};
 use std::collections::BTreeMap;
 
 type Tree = BTreeMap<TreePath, Overrides>;
@@ -81,7 +81,7 @@
 pub async fn explain(client: &Client, output: Output, args: &Explain) -> Result<(), Failure> {
     let path = parse(&args.path)?;
     let key = args.key.as_ref().map(|key| format!("&key={key}")).unwrap_or_default();
-    let all: Vec<Explained> = client.get(&format!("/v1/explain?path={path}{key}")).await?;
+    let all: Vec<Explanation> = client.get(&format!("/v1/explain?path={path}{key}")).await?;
     output.print(&all, |all| {
         let mut rows =
             vec![["key", "value", "unit", "from", "set on the way"].map(String::from).to_vec()];
--- a/crates/portrack/src/settings/mod.rs
+++ b/crates/portrack/src/settings/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) use parse::parse_toml;
 pub use path::{Level, PathError, TreePath};
 pub use plain::PlainService;
-pub use resolve::{Explained, Place};
+pub use resolve::{Explanation, Place};
 pub use rule::{Route, Rule};
 pub use secrets::{Operator, Operators};
 pub use store::{Accepted, ChangeError, Store};
--- a/crates/portrack/src/settings/resolve.rs
+++ b/crates/portrack/src/settings/resolve.rs
@@ -8,7 +8,7 @@
 
 /// A value and its origin.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Explained {
+pub struct Explanation {
     /// The key.
     pub key: String,
     /// The value in force.
@@ -36,7 +36,7 @@
     }
 
     /// Where the value of a key comes from; none if there is no such key.
-    pub fn explain(&self, place: &Place, key: &str) -> Option<Explained> {
+    pub fn explain(&self, place: &Place, key: &str) -> Option<Explanation> {
         let spec = KEYS.iter().find(|spec| spec.name == key)?;
         let covering = self.covering(place).into_iter();
         let setting = covering.filter_map(|(path, set)| Some((path.to_string(), set.get(key)?)));
@@ -44,6 +44,6 @@
         let (from, value) =
             chain.last().cloned().unwrap_or_else(|| ("default".to_owned(), spec.default));
         let (key, unit) = (key.to_owned(), spec.unit.to_owned());
-        Some(Explained { key, value, unit, from, chain })
+        Some(Explanation { key, value, unit, from, chain })
     }
 }
