--- a/crates/portrack/src/owner/answer.rs
+++ b/crates/portrack/src/owner/answer.rs
@@ -1,20 +1,20 @@
-//! What the owner says to an ask.
+//! An owner's answer to an ask.
 
 use crate::types::{Fence, Reason, ReservationId};
 use serde::{Deserialize, Serialize};
 
-/// The owner's verdict on a reservation.
+/// The owner's decision on a reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Start now, under this fence.
+    /// The request may start now, under this fence.
     Granted(Fence),
-    /// Wait: the adapter is loading or the batch is full.
+    /// The request waits: the adapter is not loaded or the batch is full.
     Queued,
-    /// Not here.
+    /// The request cannot run on this engine now.
     Refused {
-        /// Why.
+        /// The reason.
         reason: Reason,
-        /// When to ask again, in milliseconds.
+        /// Suggested delay before the next attempt, in milliseconds.
         retry_ms: u32,
     },
 }
@@ -24,8 +24,8 @@
 pub struct Answer {
     /// The reservation.
     pub id: ReservationId,
-    /// The repetition that this answers.
+    /// The attempt that this answers.
     pub attempt: u32,
-    /// The verdict.
+    /// The decision.
     pub verdict: Verdict,
 }
--- a/crates/portrack/src/owner/ask.rs
+++ b/crates/portrack/src/owner/ask.rs
@@ -1,19 +1,19 @@
-//! A request for a place on an engine.
+//! An entry node's request for a reservation.
 
 use crate::types::{AdapterVersion, Class, ReservationId};
 use serde::{Deserialize, Serialize};
 
-/// Sent by an entry node to the engine's owner; repeating it changes nothing.
+/// Sent by an entry node to the engine's owner; idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The reservation, the same in every repetition.
+    /// The reservation, the same for every attempt.
     pub id: ReservationId,
-    /// Counts the repetitions; the answer names the one it answers.
+    /// Attempt number; the answer repeats it.
     pub attempt: u32,
-    /// What the request runs on.
+    /// The adapter that the request runs on.
     pub adapter: AdapterVersion,
-    /// How urgent it is.
+    /// Urgency of the request.
     pub class: Class,
-    /// How long it may still wait for its start, in milliseconds.
+    /// Remaining time until the request must have started, in milliseconds.
     pub wait_ms: u32,
 }
--- a/crates/portrack/src/owner/end.rs
+++ b/crates/portrack/src/owner/end.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What the entry node knows of a request when it gives its place back.
+/// What the entry node knows about a request when it releases the reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// The engine certainly runs nothing of it.
+    /// The request is certainly not running on the engine.
     Ended,
-    /// The engine refused it because it does not hold the adapter.
+    /// The engine refused the request because the adapter is not loaded.
     Missing,
-    /// The engine may still run it; its reports will tell.
+    /// The request may still be running; the engine's reports decide.
     Unsure,
 }
 
 impl End {
-    /// The end of a request that the engine was told of.
+    /// The end of a request that was sent to the engine.
     pub fn of(ended: bool) -> Self {
         match ended {
             true => Self::Ended,
--- a/crates/portrack/src/owner/engine.rs
+++ b/crates/portrack/src/owner/engine.rs
@@ -1,8 +1,8 @@
-//! The owner's state machine: ownership itself and the dispatch of events.
+//! State machine of an engine owner: acquires and loses ownership, and dispatches events.
 
 use super::{
-    Ask, Event, Holdings, Load, LoadTimes, LoadTurns, Order, OrderId, OrderKind, Output, Pin,
-    Queue, Report, Slot, SlotState, Tuning,
+    Ask, Event, Holdings, Load, LoadTimeAverage, LoadWaitEstimator, Order, OrderId, OrderKind,
+    Output, Pin, Queue, Report, Slot, SlotState, Tuning,
 };
 use crate::placement::Demand;
 use crate::types::{
@@ -11,20 +11,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Load time assumed before the first load has been seen.
-const FIRST_LOAD_GUESS: Duration = Duration::from_millis(1_500);
-/// Wait before an owner that lost its fence tries to get it back.
-const REGAIN_AFTER: Duration = Duration::from_secs(1);
-/// Without an answer after this, a fence order is given again.
-const RAISE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Load time assumed before the first load has been measured.
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(1_500);
+/// Delay before an owner that lost its fence tries to acquire it again.
+const REACQUIRE_DELAY: Duration = Duration::from_secs(1);
+/// A request to raise the fence is sent again if it is unanswered for this long.
+const RAISE_FENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Waiting for a report; none is asked for before this time.
-    Reading(Time),
-    /// A fence order is out since this time.
-    Raising(Time),
-    /// The engine is ours.
+    /// Waiting for a report; reports are ignored before this time.
+    AwaitingReport(Time),
+    /// A request to raise the fence has been pending since this time.
+    RaisingFence(Time),
+    /// The engine has accepted this owner's fence.
     Serving,
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub(super) struct Want {
+pub(super) struct WantedLoad {
     pub(super) since: Time,
     pub(super) asked_at: Option<Time>,
     pub(super) permitted: bool,
@@ -48,18 +48,18 @@
     pub(super) until: Time,
 }
 
-/// What makes an owner the only one.
+/// Mechanism that ensures that an engine has a single owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lock {
     /// The engine checks the fence of every order.
     Fence,
-    /// The engine checks nothing: a lease in the key-value service. An owner whose lease cannot be
-    /// renewed goes on granting and stops ordering; a successor unloads nothing until the
-    /// members have said that they grant nothing.
+    /// The engine does not check fences; a lease in the key-value service is used instead. An
+    /// owner that cannot renew its lease continues to grant but stops sending orders; a successor
+    /// unloads nothing until the members have confirmed that they grant nothing.
     Lease,
 }
 
-/// Owner of one engine. Feed it with [`EngineOwner::on`].
+/// Owner of one engine. Events are passed to [`EngineOwner::on`].
 #[derive(Debug, Clone)]
 pub struct EngineOwner {
     pub(super) engine: EngineName,
@@ -70,7 +70,7 @@
     pub(super) phase: Phase,
     fences: FenceMaker,
     pub(super) fence: Fence,
-    /// The engine's epoch in which it accepted our fence.
+    /// Epoch in which the engine accepted this owner's fence.
     epoch: Option<u64>,
     pub(super) unload_from: Time,
     pub(super) confirmed: Option<Time>,
@@ -79,9 +79,9 @@
     pub(super) pins: BTreeMap<ReservationId, Pin>,
     pub(super) queue: Queue,
     pub(super) demand: Demand,
-    pub(super) times: LoadTimes,
-    pub(super) turns: LoadTurns,
-    pub(super) wants: BTreeMap<AdapterVersion, Want>,
+    pub(super) load_time: LoadTimeAverage,
+    pub(super) load_wait: LoadWaitEstimator,
+    pub(super) wanted_loads: BTreeMap<AdapterVersion, WantedLoad>,
     pub(super) backoffs: BTreeMap<AdapterVersion, Backoff>,
     pub(super) unloaded: BTreeMap<AdapterVersion, Time>,
     pub(super) orders: BTreeMap<OrderId, PendingOrder>,
@@ -91,7 +91,7 @@
 }
 
 impl EngineOwner {
-    /// Begins to own an engine at `now`.
+    /// Creates an owner that starts to acquire the engine at `now`.
     pub fn new(
         engine: EngineName,
         lock: Lock,
@@ -106,7 +106,7 @@
             cleared: false,
             demand: Demand::new(tuning.demand_half_life),
             tuning,
-            phase: Phase::Reading(now),
+            phase: Phase::AwaitingReport(now),
             fences,
             fence: Fence(0),
             epoch: None,
@@ -116,9 +116,9 @@
             slots: BTreeMap::new(),
             pins: BTreeMap::new(),
             queue: Queue::default(),
-            times: LoadTimes::new(FIRST_LOAD_GUESS),
-            turns: LoadTurns::default(),
-            wants: BTreeMap::new(),
+            load_time: LoadTimeAverage::new(INITIAL_LOAD_TIME),
+            load_wait: LoadWaitEstimator::default(),
+            wanted_loads: BTreeMap::new(),
             backoffs: BTreeMap::new(),
             unloaded: BTreeMap::new(),
             orders: BTreeMap::new(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn on(&mut self, now: Time, event: Event) -> Vec<Output> {
         let mut out = Vec::new();
         match event {
@@ -137,11 +137,11 @@
             Event::Release { id, end } => self.release(now, id, end, &mut out),
             Event::Report(report) => self.take_report(now, report, &mut out),
             Event::FenceRaised(fence) => self.fence_raised(now, fence),
-            Event::FenceRefused(highest) => self.lose(now, highest, &mut out),
+            Event::FenceRefused(highest) => self.lose_ownership(now, highest, &mut out),
             Event::OrderDone { id, result } => self.order_done(now, id, result, &mut out),
-            Event::Permit(adapter) => self.permitted(&adapter),
-            Event::Leaving => self.leave(&mut out),
-            Event::Cleared => self.clear(now),
+            Event::Permit(adapter) => self.on_permit(&adapter),
+            Event::Leaving => self.start_leaving(&mut out),
+            Event::Cleared => self.on_cleared(now),
         }
         self.grant_waiting(now, &mut out);
         self.plan_loads(now, &mut out);
@@ -149,16 +149,16 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
-        if let Phase::Raising(since) = self.phase
-            && now.since(since) >= RAISE_TIMEOUT
+        if let Phase::RaisingFence(since) = self.phase
+            && now.since(since) >= RAISE_FENCE_TIMEOUT
         {
-            self.phase = Phase::Reading(now);
+            self.phase = Phase::AwaitingReport(now);
         }
-        let pace = match self.is_busy() {
+        let interval = match self.is_busy() {
             true => self.tuning.poll_every,
             false => self.tuning.poll_idle,
         };
-        self.poll(now, pace, out);
+        self.poll(now, interval, out);
         self.expire_orders(now, out);
         self.expire_waiting(now, out);
         self.unloaded.retain(|_, at| now.since(*at) < Duration::from_secs(60));
@@ -166,19 +166,19 @@
         self.demand.sweep(now);
     }
 
-    /// Asks for a report unless one was asked for within `pace`.
-    pub(super) fn poll(&mut self, now: Time, pace: Duration, out: &mut Vec<Output>) {
-        let due = self.polled_at.is_none_or(|at| now.since(at) >= pace);
+    /// Requests a report unless one was requested within `interval`.
+    pub(super) fn poll(&mut self, now: Time, interval: Duration, out: &mut Vec<Output>) {
+        let due = self.polled_at.is_none_or(|at| now.since(at) >= interval);
         if due {
             self.polled_at = Some(now);
             out.push(Output::Poll);
         }
     }
 
-    /// True while the next report decides something.
+    /// True while a pending decision depends on the next report.
     fn is_busy(&self) -> bool {
-        let settled = self.slots.values().all(|slot| slot.state == SlotState::Ready);
-        self.phase != Phase::Serving || !settled || self.queue.total() > 0
+        let is_settled = self.slots.values().all(|slot| slot.state == SlotState::Ready);
+        self.phase != Phase::Serving || !is_settled || self.queue.total() > 0
     }
 
     fn take_report(&mut self, now: Time, report: Report, out: &mut Vec<Output>) {
@@ -187,36 +187,38 @@
             return;
         }
         if report.leaving {
-            self.leave(out);
+            self.start_leaving(out);
         }
         match self.phase {
-            Phase::Reading(from) if now >= from => self.raise(now, report, out),
-            Phase::Reading(_) | Phase::Raising(_) => {}
-            Phase::Serving if report.fence > self.fence => self.lose(now, report.fence, out),
-            Phase::Serving if self.is_foreign(&report) => self.raise(now, report, out),
+            Phase::AwaitingReport(from) if now >= from => self.raise_fence(now, report, out),
+            Phase::AwaitingReport(_) | Phase::RaisingFence(_) => {}
+            Phase::Serving if report.fence > self.fence => {
+                self.lose_ownership(now, report.fence, out)
+            }
+            Phase::Serving if self.has_lost_fence(&report) => self.raise_fence(now, report, out),
             Phase::Serving => self.reconcile(now, report),
         }
     }
 
-    /// True if the engine no longer has our fence: it restarted, and another owner's may even
-    /// look like ours.
-    fn is_foreign(&self, report: &Report) -> bool {
+    /// True if the engine no longer has this owner's fence. After a restart the reported fence may
+    /// have the same value and still be another owner's, so the epoch is compared as well.
+    fn has_lost_fence(&self, report: &Report) -> bool {
         let restarted = self.lock == Lock::Fence && self.epoch != Some(report.epoch);
         restarted || report.fence < self.fence
     }
 
-    /// Orders a fence above every one that this owner or the engine knows.
-    fn raise(&mut self, now: Time, report: Report, out: &mut Vec<Output>) {
+    /// Asks the engine to accept a fence above the highest one known to this owner or the engine.
+    fn raise_fence(&mut self, now: Time, report: Report, out: &mut Vec<Output>) {
         let highest = report.fence.max(self.fence);
         self.epoch = Some(report.epoch);
-        self.phase = Phase::Raising(now);
+        self.phase = Phase::RaisingFence(now);
         self.confirmed = None;
         self.report = Some(report);
         out.push(Output::RaiseFence(self.fences.above(highest, now)));
     }
 
     fn fence_raised(&mut self, now: Time, fence: Fence) {
-        let Phase::Raising(since) = self.phase else {
+        let Phase::RaisingFence(since) = self.phase else {
             return;
         };
         self.phase = Phase::Serving;
@@ -230,45 +232,45 @@
         self.confirmed = Some(since);
     }
 
-    /// No new work: the engine is leaving.
-    fn leave(&mut self, out: &mut Vec<Output>) {
+    /// Refuses all waiting requests and stops granting: the engine is leaving.
+    fn start_leaving(&mut self, out: &mut Vec<Output>) {
         self.leaving = true;
-        for waiting in self.queue.take_where(|_| true) {
+        for waiting in self.queue.remove_where(|_| true) {
             out.push(Self::refuse(waiting, Reason::NoBackend, 0));
         }
     }
 
-    /// Another owner has the engine: stop at once.
-    pub(super) fn lose(&mut self, now: Time, highest: Fence, out: &mut Vec<Output>) {
-        self.phase = Phase::Reading(now + REGAIN_AFTER);
+    /// Another owner has the engine: drops all state and refuses what waits.
+    pub(super) fn lose_ownership(&mut self, now: Time, highest: Fence, out: &mut Vec<Output>) {
+        self.phase = Phase::AwaitingReport(now + REACQUIRE_DELAY);
         self.fence = self.fence.max(highest);
         self.confirmed = None;
         self.report = None;
         self.slots.clear();
-        self.changed();
+        self.bump_holdings();
         for order in std::mem::take(&mut self.orders).into_values() {
             if order.kind == OrderKind::Load {
                 out.push(Output::PermitDone(order.adapter));
             }
         }
-        for adapter in std::mem::take(&mut self.wants).into_keys() {
+        for adapter in std::mem::take(&mut self.wanted_loads).into_keys() {
             out.push(Output::PermitDone(adapter));
         }
-        for waiting in self.queue.take_where(|_| true) {
-            let retry = u32::try_from(REGAIN_AFTER.as_millis()).unwrap_or(u32::MAX);
+        for waiting in self.queue.remove_where(|_| true) {
+            let retry = u32::try_from(REACQUIRE_DELAY.as_millis()).unwrap_or(u32::MAX);
             out.push(Self::refuse(waiting, Reason::NoBackend, retry));
         }
     }
 
-    /// Stops owning: refuses what waits and gives every permit back.
+    /// Gives up ownership: refuses waiting requests and returns all permits.
     pub fn stop(&mut self, now: Time) -> Vec<Output> {
         let mut out = Vec::new();
         let fence = self.fence;
-        self.lose(now, fence, &mut out);
+        self.lose_ownership(now, fence, &mut out);
         out
     }
 
-    /// A new order under our fence.
+    /// Creates an order under the current fence and records it as pending.
     pub(super) fn order(&mut self, now: Time, kind: OrderKind, adapter: &AdapterVersion) -> Order {
         let id = OrderId(self.next_order);
         self.next_order += 1;
@@ -277,7 +279,7 @@
         Order { id, fence: self.fence, kind, adapter: adapter.clone() }
     }
 
-    /// True while grants and unloads are safe: the engine is ours, and was so a moment ago.
+    /// True while orders are safe: the fence or lease was confirmed recently enough.
     pub(super) fn holds_fence(&self, now: Time) -> bool {
         let validity = match self.lock {
             Lock::Fence => self.tuning.grant_validity,
@@ -287,8 +289,8 @@
         self.phase == Phase::Serving && self.confirmed.is_some_and(recent)
     }
 
-    /// True while grants are safe. An owner that held the lease may go on without it: nobody
-    /// unloads before this one has said that it stopped.
+    /// True while grants are safe. An owner by lease may continue to grant after losing the lease:
+    /// a successor unloads nothing until this owner has confirmed that it stopped.
     pub(super) fn may_grant(&self, now: Time) -> bool {
         if self.leaving || !self.has_fresh_report(now) {
             return false;
@@ -304,18 +306,19 @@
         self.report.as_ref().is_some_and(fresh)
     }
 
-    /// True once no predecessor can be granting any more.
+    /// True once no previous owner can still be granting.
     pub fn is_cleared(&self) -> bool {
         self.cleared
     }
 
-    /// What was granted until now has started, and shows, after the start window.
-    fn clear(&mut self, now: Time) {
+    /// Allows unloads after the start window: by then every earlier grant has started and shows in
+    /// reports.
+    fn on_cleared(&mut self, now: Time) {
         self.cleared = true;
         self.unload_from = self.unload_from.max(now + self.tuning.start_window());
     }
 
-    pub(super) fn changed(&mut self) {
+    pub(super) fn bump_holdings(&mut self) {
         self.holdings = self.holdings.wrapping_add(1);
     }
 
@@ -327,7 +330,7 @@
         self.report.as_ref().map_or(0, |r| r.slots)
     }
 
-    /// What makes this owner the only one.
+    /// The mechanism that ensures a single owner.
     pub fn lock(&self) -> Lock {
         self.lock
     }
@@ -337,32 +340,32 @@
         &self.engine
     }
 
-    /// The fence this owner gives orders under.
+    /// The fence under which this owner sends orders.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// True once the engine has accepted our fence.
+    /// True while the engine has this owner's fence.
     pub fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Pins that are held.
+    /// Number of pins.
     pub fn pin_count(&self) -> usize {
         self.pins.len()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.queue.total()
     }
 
     /// True while a load of this adapter is wanted and not yet ordered.
     pub fn wants(&self, adapter: &AdapterVersion) -> bool {
-        self.wants.contains_key(adapter)
+        self.wanted_loads.contains_key(adapter)
     }
 
-    /// The load order that is out for an adapter.
+    /// The pending load order for an adapter.
     pub fn load_order(&self, adapter: &AdapterVersion) -> Option<OrderId> {
         match self.slots.get(adapter)?.state {
             SlotState::Loading(id) => Some(id),
@@ -370,17 +373,17 @@
         }
     }
 
-    /// The asks that wait, as their entry nodes would repeat them.
+    /// The waiting asks with their entry nodes, as the entry nodes would repeat them.
     pub fn renewals(&self) -> Vec<(Instance, Ask)> {
         self.queue.iter().map(|waiting| (waiting.from.clone(), waiting.ask.clone())).collect()
     }
 
-    /// Takes changed numbers.
+    /// Applies changed settings.
     pub fn retune(&mut self, tuning: Tuning) {
         self.tuning = tuning;
     }
 
-    /// The load, as heartbeats carry it.
+    /// The engine's load, for heartbeats.
     pub fn load(&self, now: Time) -> Load {
         let free = match self.may_grant(now) {
             true => self.batch().saturating_sub(self.pins.len()),
@@ -396,16 +399,16 @@
         }
     }
 
-    /// The version of the adapters held; grows with every change.
+    /// Version of the holdings; increases with every change.
     pub fn holdings_version(&self) -> u32 {
         self.holdings
     }
 
-    /// The adapters held.
+    /// The adapters that are loaded or loading.
     pub fn holdings(&self) -> Holdings {
         let of = |wanted: fn(&SlotState) -> bool| {
-            let kept = self.slots.iter().filter(|(_, slot)| wanted(&slot.state));
-            kept.map(|(adapter, _)| adapter.clone()).collect()
+            let matching = self.slots.iter().filter(|(_, slot)| wanted(&slot.state));
+            matching.map(|(adapter, _)| adapter.clone()).collect()
         };
         Holdings {
             engine: self.engine.clone(),
--- a/crates/portrack/src/owner/event.rs
+++ b/crates/portrack/src/owner/event.rs
@@ -1,73 +1,73 @@
-//! What goes into and comes out of an owner.
+//! Inputs and outputs of an owner.
 
 use super::{Answer, Ask, End, Order, OrderId, OrderResult, Report};
 use crate::types::{AdapterVersion, Fence, Instance, ReservationId};
 
-/// Something that happened.
+/// Input of an owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
-    /// An entry node asks for a place.
+    /// An entry node asks for a reservation.
     Reserve {
         /// The entry node.
         from: Instance,
-        /// What it asks.
+        /// The ask.
         ask: Ask,
     },
-    /// An entry node is done with a reservation, run or not.
+    /// An entry node releases a reservation, whether or not the request ran.
     Release {
-        /// Which.
+        /// The reservation.
         id: ReservationId,
-        /// What is known of its end.
+        /// How the request ended.
         end: End,
     },
-    /// The engine has reported.
+    /// A status report of the engine.
     Report(Report),
     /// The engine has accepted the fence.
     FenceRaised(Fence),
-    /// The engine has a fence that is at least as high.
+    /// The engine refused the fence because it has this one, which is at least as high.
     FenceRefused(Fence),
     /// An order has ended.
     OrderDone {
-        /// Which.
+        /// The order.
         id: OrderId,
-        /// How.
+        /// Its result.
         result: OrderResult,
     },
-    /// The load planner allows a load.
+    /// The load planner permits a load of this adapter.
     Permit(AdapterVersion),
-    /// The node list says that the engine is leaving.
+    /// The node list marks the engine as leaving.
     Leaving,
-    /// Every member of the hall has said that it grants nothing on this engine.
+    /// Every member of the hall has confirmed that it grants nothing on this engine.
     Cleared,
 }
 
-/// Something to do.
+/// Action requested by an owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send an answer to an entry node.
     Answer {
         /// The entry node.
         to: Instance,
-        /// What to say.
+        /// The answer.
         answer: Answer,
     },
-    /// Ask the engine for a report.
+    /// Request a status report from the engine.
     Poll,
     /// Ask the engine to accept this fence.
     RaiseFence(Fence),
-    /// Give the engine an order.
+    /// Send an order to the engine.
     Order(Order),
-    /// Ask the load planner for a permit; repeated until it comes.
+    /// Request a permit from the load planner; repeated until it is granted.
     AskPermit {
         /// The adapter.
         adapter: AdapterVersion,
-        /// How long the first request has waited for it, in milliseconds.
+        /// How long the oldest request has waited for the adapter, in milliseconds.
         waited_ms: u32,
-        /// Requests that wait, interactive ones counted more.
+        /// Number of waiting requests, with a higher weight for interactive ones.
         weight: u32,
     },
-    /// Give a permit back: the load has ended or is wanted no more.
+    /// Return a permit: the load has ended or is no longer needed.
     PermitDone(AdapterVersion),
 }
--- a/crates/portrack/src/owner/grant.rs
+++ b/crates/portrack/src/owner/grant.rs
@@ -1,17 +1,17 @@
-//! Reservations: asks, grants, refusals and releases.
+//! Reservations: requests, grants, refusals and releases.
 
-use super::{Answer, Ask, End, EngineOwner, Output, Pin, SlotState, Verdict, Waiting};
+use super::{Answer, Ask, End, EngineOwner, Output, Pin, SlotState, Verdict, WaitingRequest};
 use crate::types::{AdapterVersion, Class, Instance, Reason, ReservationId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A request that waits for a fresh report has one asked for, but not more often than this.
-const POLL_AT_ONCE: Duration = Duration::from_millis(100);
-/// Retry hint while an engine is too busy, in milliseconds.
+/// Minimum interval between polls that are triggered by a request waiting for a fresh report.
+const URGENT_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Retry hint for requests refused because the engine is busy, in milliseconds.
 const BUSY_RETRY_MS: u32 = 1_000;
-/// A request is taken only if it can wait for this many times its expected turn: one that is refused
-/// later has waited for nothing.
-const TURN_MARGIN: f64 = 1.2;
+/// A request is queued only if its remaining time covers this many times the expected wait for its
+/// load; otherwise it is refused at once instead of after a useless wait.
+const LOAD_WAIT_MARGIN: f64 = 1.2;
 
 impl EngineOwner {
     pub(super) fn reserve(&mut self, now: Time, from: Instance, ask: &Ask, out: &mut Vec<Output>) {
@@ -19,7 +19,7 @@
             return;
         }
         self.demand.note(&ask.adapter, now);
-        if let Some((reason, retry_ms)) = self.objection(now, ask) {
+        if let Some((reason, retry_ms)) = self.refusal_for(now, ask) {
             let verdict = Verdict::Refused { reason, retry_ms };
             let answer = Answer { id: ask.id, attempt: ask.attempt, verdict };
             out.push(Output::Answer { to: from, answer });
@@ -28,10 +28,16 @@
         let (id, attempt) = (ask.id, ask.attempt);
         let until = now + Duration::from_millis(u64::from(ask.wait_ms));
         let ask = ask.clone();
-        self.queue.push(Waiting { from: from.clone(), ask, since: now, until, renewed: now });
+        self.queue.push(WaitingRequest {
+            from: from.clone(),
+            ask,
+            since: now,
+            until,
+            renewed: now,
+        });
         self.grant_waiting(now, out);
         if !self.may_grant(now) {
-            self.poll(now, POLL_AT_ONCE, out);
+            self.poll(now, URGENT_POLL_INTERVAL, out);
         }
         if self.queue.find(id).is_some() {
             let answer = Answer { id, attempt, verdict: Verdict::Queued };
@@ -72,8 +78,8 @@
         true
     }
 
-    /// Why an ask cannot be taken, with a retry hint in milliseconds.
-    fn objection(&self, now: Time, ask: &Ask) -> Option<(Reason, u32)> {
+    /// The reason to refuse a request, if any, with a retry hint in milliseconds.
+    fn refusal_for(&self, now: Time, ask: &Ask) -> Option<(Reason, u32)> {
         if self.leaving {
             return Some((Reason::NoBackend, 0));
         }
@@ -87,41 +93,45 @@
         if queue_full && !self.could_grant(now, &ask.adapter) {
             return Some((Reason::QueueFull, BUSY_RETRY_MS));
         }
-        let least = self.least_wait(now, &ask.adapter);
-        let turn = self.expected_turn(now, &ask.adapter);
-        if Duration::from_millis(u64::from(ask.wait_ms)) < least + turn.mul_f64(TURN_MARGIN) {
-            return Some((Reason::Deadline, retry_ms(least + turn)));
+        let least = self.min_start_delay(now, &ask.adapter);
+        let load_wait = self.expected_load_wait(now, &ask.adapter);
+        if Duration::from_millis(u64::from(ask.wait_ms))
+            < least + load_wait.mul_f64(LOAD_WAIT_MARGIN)
+        {
+            return Some((Reason::Deadline, retry_ms(least + load_wait)));
         }
         None
     }
 
-    /// How long an adapter without a slot is expected to wait until its load begins. The oldest
-    /// goes first.
-    fn expected_turn(&self, now: Time, adapter: &AdapterVersion) -> Duration {
+    /// Expected time until the load of an adapter without a slot begins. Loads start in order of
+    /// their oldest waiting request.
+    fn expected_load_wait(&self, now: Time, adapter: &AdapterVersion) -> Duration {
         if self.slots.contains_key(adapter) {
             return Duration::ZERO;
         }
-        let mine = self.wants.get(adapter);
+        let mine = self.wanted_loads.get(adapter);
         if mine.is_some_and(|want| want.permitted) {
             return Duration::ZERO;
         }
         let since = mine.map_or(now, |want| want.since);
-        let ahead = self.wants.values().filter(|want| want.since < since).count();
+        let ahead = self.wanted_loads.values().filter(|want| want.since < since).count();
         let least = self.tuning.min_hold / u32::try_from(self.slot_count().max(1)).unwrap_or(1);
-        self.turns.expected(now, ahead, least)
+        self.load_wait.expected(now, ahead, least)
     }
 
     fn could_grant(&self, now: Time, adapter: &AdapterVersion) -> bool {
         self.may_grant(now) && self.is_ready(adapter) && self.pins.len() < self.batch()
     }
 
-    /// The least time before a new request for the adapter can start.
-    fn least_wait(&self, now: Time, adapter: &AdapterVersion) -> Duration {
+    /// Minimum time before a new request for the adapter can start.
+    fn min_start_delay(&self, now: Time, adapter: &AdapterVersion) -> Duration {
         let Some(slot) = self.slots.get(adapter) else {
-            return self.times.expected();
+            return self.load_time.expected();
         };
         match slot.state {
-            SlotState::Loading(_) => self.times.expected().saturating_sub(now.since(slot.since)),
+            SlotState::Loading(_) => {
+                self.load_time.expected().saturating_sub(now.since(slot.since))
+            }
             _ => Duration::ZERO,
         }
     }
@@ -147,10 +157,10 @@
         }
     }
 
-    fn grant(&mut self, now: Time, waiting: Waiting, out: &mut Vec<Output>) {
-        let Waiting { from, ask, .. } = waiting;
+    fn grant(&mut self, now: Time, waiting: WaitingRequest, out: &mut Vec<Output>) {
+        let WaitingRequest { from, ask, .. } = waiting;
         if let Some(slot) = self.slots.get_mut(&ask.adapter) {
-            slot.owed = false;
+            slot.for_waiting = false;
         }
         let pin = Pin { adapter: ask.adapter, holder: Some(from.clone()), granted_at: now };
         self.pins.insert(ask.id, pin);
@@ -169,7 +179,7 @@
         self.queue.remove(id);
         match end {
             End::Ended => self.unpin(now, id),
-            End::Missing => self.missing(now, id, out),
+            End::Missing => self.on_adapter_missing(now, id, out),
             End::Unsure => {
                 if let Some(pin) = self.pins.get_mut(&id) {
                     pin.holder = None;
@@ -179,15 +189,16 @@
         }
     }
 
-    /// The engine no longer has the adapter: grants wait until a fresh report tells what it has.
-    fn missing(&mut self, now: Time, id: ReservationId, out: &mut Vec<Output>) {
+    /// Handles an engine that no longer has the adapter: stops granting it until a fresh report
+    /// shows which adapters are loaded.
+    fn on_adapter_missing(&mut self, now: Time, id: ReservationId, out: &mut Vec<Output>) {
         let adapter = self.pins.get(&id).map(|pin| pin.adapter.clone());
         self.unpin(now, id);
         let slot = adapter.and_then(|adapter| self.slots.get_mut(&adapter));
         if let Some(slot) = slot.filter(|slot| slot.state == SlotState::Ready) {
             slot.state = SlotState::Unsure(now);
-            self.changed();
-            self.poll(now, POLL_AT_ONCE, out);
+            self.bump_holdings();
+            self.poll(now, URGENT_POLL_INTERVAL, out);
         }
     }
 
@@ -200,32 +211,33 @@
         }
     }
 
-    /// Refuses those whose time is over, or too short for the turn and the load of their adapter.
+    /// Refuses waiting requests whose remaining time is too short for the expected wait and load
+    /// of their adapter, and drops those that their entry node no longer renews.
     pub(super) fn expire_waiting(&mut self, now: Time, out: &mut Vec<Output>) {
         let ttl = self.tuning.waiter_ttl;
-        self.queue.take_where(|w| now.since(w.renewed) >= ttl);
-        let load = self.times.expected();
+        self.queue.remove_where(|w| now.since(w.renewed) >= ttl);
+        let load = self.load_time.expected();
         let needed: BTreeMap<AdapterVersion, Duration> = self
-            .wants
+            .wanted_loads
             .keys()
-            .map(|adapter| (adapter.clone(), load + self.expected_turn(now, adapter)))
+            .map(|adapter| (adapter.clone(), load + self.expected_load_wait(now, adapter)))
             .collect();
-        let hopeless = |w: &Waiting| {
+        let cannot_start = |w: &WaitingRequest| {
             let needed = needed.get(&w.ask.adapter).copied().unwrap_or_default();
             now + needed >= w.until
         };
-        for waiting in self.queue.take_where(hopeless) {
+        for waiting in self.queue.remove_where(cannot_start) {
             out.push(Self::refuse(waiting, Reason::Deadline, BUSY_RETRY_MS));
         }
     }
 
-    pub(super) fn refuse(waiting: Waiting, reason: Reason, retry_ms: u32) -> Output {
+    pub(super) fn refuse(waiting: WaitingRequest, reason: Reason, retry_ms: u32) -> Output {
         let verdict = Verdict::Refused { reason, retry_ms };
         let answer = Answer { id: waiting.ask.id, attempt: waiting.ask.attempt, verdict };
         Output::Answer { to: waiting.from, answer }
     }
 
-    /// Requests that wait in a class.
+    /// Number of waiting requests in a class.
     pub fn queued(&self, class: Class) -> usize {
         self.queue.len(class)
     }
--- a/crates/portrack/src/owner/mod.rs
+++ b/crates/portrack/src/owner/mod.rs
@@ -1,8 +1,8 @@
-//! The owner of one model engine: the only one that orders loads and admits requests there.
+//! The owner of a model engine: the only daemon that orders loads and admits requests there.
 //!
-//! The engine's highest accepted fence is the lock. An owner grants reservations only while a
-//! recent status report showed its own fence, and a new owner unloads nothing until every grant
-//! of its predecessor has either started, and so shows as running, or has lapsed.
+//! The highest fence that the engine has accepted acts as the lock. An owner grants reservations
+//! only while a recent status report showed its own fence. A new owner unloads nothing until every
+//! grant of the previous owner has either started, and so is reported as running, or has expired.
 
 mod answer;
 mod ask;
@@ -10,7 +10,8 @@
 mod engine;
 mod event;
 mod grant;
-mod load;
+mod load_time;
+mod load_wait;
 mod loading;
 mod order;
 mod pin;
@@ -19,7 +20,6 @@
 mod report;
 mod slot;
 mod tuning;
-mod turns;
 mod view;
 
 pub use answer::{Answer, Verdict};
@@ -27,12 +27,12 @@
 pub use end::End;
 pub use engine::{EngineOwner, Lock};
 pub use event::{Event, Output};
-pub use load::LoadTimes;
+pub use load_time::LoadTimeAverage;
+pub use load_wait::LoadWaitEstimator;
 pub use order::{Order, OrderId, OrderKind, OrderResult};
 pub use pin::Pin;
-pub use queue::{Queue, Waiting};
+pub use queue::{Queue, WaitingRequest};
 pub use report::{Report, Running};
 pub use slot::{Slot, SlotState};
 pub use tuning::Tuning;
-pub use turns::LoadTurns;
 pub use view::{Holdings, Load};
--- a/crates/portrack/src/owner/order.rs
+++ b/crates/portrack/src/owner/order.rs
@@ -1,43 +1,43 @@
-//! Orders to an engine.
+//! Load and unload orders to an engine.
 
 use crate::types::{AdapterVersion, Fence};
 use serde::{Deserialize, Serialize};
 
-/// Counts the orders of one owner.
+/// Sequence number of an order, unique within one owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub u64);
 
-/// What an order does.
+/// Kind of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Load an adapter into a free slot.
+    /// Loads an adapter into a free slot.
     Load,
-    /// Free the slot of an adapter.
+    /// Unloads an adapter and frees its slot.
     Unload,
 }
 
-/// A fenced order.
+/// An order to an engine, protected by a fence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Its number.
+    /// Sequence number.
     pub id: OrderId,
-    /// The fence it is given under.
+    /// Fence of the owner that sent it.
     pub fence: Fence,
     /// Load or unload.
     pub kind: OrderKind,
-    /// The adapter.
+    /// The adapter to load or unload.
     pub adapter: AdapterVersion,
 }
 
-/// How an order ended.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The engine did it.
+    /// The engine carried out the order.
     Done,
-    /// The engine tried and failed, or refused it.
+    /// The engine refused the order or failed to carry it out.
     Failed,
-    /// The engine has accepted a higher fence.
+    /// The engine refused the order because it has accepted this higher fence.
     Fenced(Fence),
-    /// No answer: it may have been done. The next report tells.
+    /// No result arrived; the order may have been carried out. The next report resolves it.
     Unknown,
 }
--- a/crates/portrack/src/owner/pin.rs
+++ b/crates/portrack/src/owner/pin.rs
@@ -1,14 +1,14 @@
-//! A pin keeps an adapter on its engine.
+//! Pins, which keep an adapter loaded while a request uses it.
 
 use crate::types::{AdapterVersion, Instance, Time};
 
-/// Held for one request, from its grant until the request is certainly gone.
+/// Pin of one request, held from its grant until the request has certainly ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pin {
-    /// What is kept.
+    /// The pinned adapter.
     pub adapter: AdapterVersion,
-    /// The entry node it was granted to; none if only the engine told of it.
+    /// The entry node it was granted to; `None` if it is known only from the engine's reports.
     pub holder: Option<Instance>,
-    /// The latest grant, or the report that first showed it.
+    /// Time of the latest grant, or of the report that first showed the request.
     pub granted_at: Time,
 }
--- a/crates/portrack/src/owner/reconcile.rs
+++ b/crates/portrack/src/owner/reconcile.rs
@@ -1,4 +1,4 @@
-//! Brings the owner's picture of slots and pins in line with the engine's reports.
+//! Reconciles the owner's slots and pins with the engine's reports.
 
 use super::{EngineOwner, Lock, Pin, Report, Slot, SlotState};
 use crate::types::{AdapterVersion, Time};
@@ -12,16 +12,16 @@
         let restarted = self.report.as_ref().is_some_and(|last| last.epoch != report.epoch);
         if restarted {
             self.slots.clear();
-            self.changed();
+            self.bump_holdings();
         }
-        self.settle_slots(now, &report);
+        self.update_slots(now, &report);
         self.adopt_slots(now, &report);
-        self.settle_pins(now, &report);
+        self.update_pins(now, &report);
         self.report = Some(report);
     }
 
-    /// Slots that the report contradicts are dropped; lost answers are settled.
-    fn settle_slots(&mut self, now: Time, report: &Report) {
+    /// Drops slots that the report contradicts and resolves slots in an unknown state.
+    fn update_slots(&mut self, now: Time, report: &Report) {
         let lag = self.tuning.report_lag;
         let before = self.slots.len();
         self.slots.retain(|adapter, slot| {
@@ -30,7 +30,7 @@
                 SlotState::Ready => loaded || report.asked_at < slot.since + lag,
                 SlotState::Unsure(at) if report.asked_at >= at + lag => {
                     if loaded {
-                        *slot = Slot::new(SlotState::Ready, now, slot.owed);
+                        *slot = Slot::new(SlotState::Ready, now, slot.for_waiting);
                     }
                     loaded || report.loading.contains(adapter)
                 }
@@ -38,47 +38,49 @@
             }
         });
         if before != self.slots.len() {
-            self.changed();
+            self.bump_holdings();
         }
     }
 
-    /// Adapters on the engine that we did not know of, for instance after a takeover.
+    /// Adds slots for reported adapters that this owner does not know, for instance after a takeover.
     fn adopt_slots(&mut self, now: Time, report: &Report) {
         for adapter in &report.loaded {
-            if self.slots.contains_key(adapter) || self.unloaded_since(adapter, report.asked_at) {
+            if self.slots.contains_key(adapter) || self.recently_unloaded(adapter, report.asked_at)
+            {
                 continue;
             }
             self.slots.insert(adapter.clone(), Slot::new(SlotState::Ready, now, false));
-            self.changed();
+            self.bump_holdings();
         }
         for adapter in &report.loading {
             if self.slots.contains_key(adapter) {
                 continue;
             }
             self.slots.insert(adapter.clone(), Slot::new(SlotState::Unsure(now), now, false));
-            self.changed();
+            self.bump_holdings();
         }
     }
 
-    /// True if we unloaded the adapter so recently that the report may still show it.
-    fn unloaded_since(&self, adapter: &AdapterVersion, asked_at: Time) -> bool {
+    /// True if the adapter was unloaded so recently that the report may still show it.
+    fn recently_unloaded(&self, adapter: &AdapterVersion, asked_at: Time) -> bool {
         let lag = self.tuning.report_lag;
         self.unloaded.get(adapter).is_some_and(|at| asked_at < *at + lag)
     }
 
-    /// The engine's word decides on pins that are past their start window.
-    fn settle_pins(&mut self, now: Time, report: &Report) {
+    /// Adds pins for running requests, and removes pins that are past their start window and not
+    /// reported as running.
+    fn update_pins(&mut self, now: Time, report: &Report) {
         for running in &report.running {
             let pin = Pin { adapter: running.adapter.clone(), holder: None, granted_at: now };
             self.pins.entry(running.id).or_insert(pin);
         }
         let window = self.tuning.start_window();
-        let gone = |pin: &Pin| report.asked_at >= pin.granted_at + window;
+        let past_window = |pin: &Pin| report.asked_at >= pin.granted_at + window;
         let listed = |id| report.running.iter().any(|r| r.id == id);
         let ended: Vec<_> = self
             .pins
             .iter()
-            .filter(|(id, pin)| gone(pin) && !listed(**id))
+            .filter(|(id, pin)| past_window(pin) && !listed(**id))
             .map(|(id, _)| *id)
             .collect();
         for id in ended {
--- a/crates/portrack/src/owner/report.rs
+++ b/crates/portrack/src/owner/report.rs
@@ -1,38 +1,39 @@
-//! What an engine says of itself.
+//! Status reports of an engine.
 
 use crate::types::{AdapterVersion, Fence, ReservationId, Time};
 use serde::{Deserialize, Serialize};
 
-/// A request that an engine runs.
+/// A request that is running on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
     /// The request.
     pub id: ReservationId,
-    /// What it runs on.
+    /// The adapter it runs on.
     pub adapter: AdapterVersion,
 }
 
-/// One status report.
+/// A status report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// When the owner asked for it. What happened earlier than this less the lag is in it.
+    /// When the owner requested it. The report includes everything that happened before this time
+    /// less `Tuning::report_lag`.
     pub asked_at: Time,
     /// Changes when the engine restarts.
     pub epoch: u64,
-    /// The highest fence accepted; for an engine that checks none, the fence of our lease.
+    /// The highest accepted fence; for an engine that checks none, the fence of the owner's lease.
     pub fence: Fence,
-    /// For an engine that checks no fence: when the renewal of our lease was last sent.
+    /// For an engine that checks no fence: when the last renewal of the owner's lease was sent.
     pub lease_at: Option<Time>,
     /// True once the engine is leaving.
     pub leaving: bool,
-    /// The adapters in slots.
+    /// The adapters that are loaded.
     pub loaded: Vec<AdapterVersion>,
     /// The adapters that are being loaded.
     pub loading: Vec<AdapterVersion>,
-    /// The requests that run.
+    /// The running requests.
     pub running: Vec<Running>,
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: usize,
-    /// Requests that one step can carry.
+    /// Maximum number of requests in one batch.
     pub batch: usize,
 }
--- a/crates/portrack/src/owner/slot.rs
+++ b/crates/portrack/src/owner/slot.rs
@@ -3,35 +3,36 @@
 use super::OrderId;
 use crate::types::Time;
 
-/// What a slot is doing.
+/// State of an adapter slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
-    /// A load order is out.
+    /// A load order is pending.
     Loading(OrderId),
-    /// The adapter can be used.
+    /// The adapter is loaded.
     Ready,
-    /// An unload order is out; no grants.
+    /// An unload order is pending; requests for the adapter are not granted.
     Unloading(OrderId),
-    /// The order's answer was lost at this time; a later report tells.
+    /// The state became unknown at this time, for instance because the result of an order was
+    /// lost; a later report resolves it.
     Unsure(Time),
 }
 
-/// One used slot.
+/// An occupied adapter slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slot {
-    /// What it is doing.
+    /// Current state.
     pub state: SlotState,
-    /// When this state began.
+    /// When the current state began.
     pub since: Time,
-    /// When the last pin went; reports asked for earlier do not prove it idle.
+    /// When the last pin was removed; reports requested earlier do not prove the slot idle.
     pub idle_since: Time,
     /// Loaded for a waiting request that has not been granted yet.
-    pub owed: bool,
+    pub for_waiting: bool,
 }
 
 impl Slot {
-    /// A slot that enters `state` at `now`.
-    pub fn new(state: SlotState, now: Time, owed: bool) -> Self {
-        Self { state, since: now, idle_since: now, owed }
+    /// Creates a slot that enters `state` at `now`.
+    pub fn new(state: SlotState, now: Time, for_waiting: bool) -> Self {
+        Self { state, since: now, idle_since: now, for_waiting }
     }
 }
--- a/crates/portrack/src/owner/tuning.rs
+++ b/crates/portrack/src/owner/tuning.rs
@@ -1,51 +1,51 @@
-//! The numbers an owner goes by.
+//! Limits and durations of an engine owner.
 
 use std::time::Duration;
 
-/// Limits and spans of an engine owner.
+/// Limits, timeouts and intervals of an engine owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tuning {
-    /// Grants need a report that showed our fence, asked for at most this long ago.
+    /// Maximum age of the status report, showing this owner's fence, that a grant relies on.
     pub grant_validity: Duration,
-    /// Orders to an engine that checks no fence need a lease renewed at most this long ago.
+    /// Maximum age of the last lease renewal for orders to an engine that does not check fences.
     pub lease_validity: Duration,
-    /// A grant must be started within this, counted by the entry node from its ask.
+    /// A granted request must start within this time after the entry node sent its ask.
     pub start_within: Duration,
-    /// Covers the way of a started request to the engine.
+    /// Allowance for a started request to reach the engine.
     pub start_margin: Duration,
-    /// How far an engine's report may lag.
+    /// Maximum age of the state that an engine's report shows.
     pub report_lag: Duration,
-    /// Time between reports while something waits, loads or unloads.
+    /// Interval between reports while requests wait or adapters load or unload.
     pub poll_every: Duration,
-    /// Time between reports otherwise; below `grant_validity`.
+    /// Interval between reports otherwise; must be below `grant_validity`.
     pub poll_idle: Duration,
-    /// Time between repeated permit asks.
+    /// Interval between repeated permit requests.
     pub permit_every: Duration,
-    /// Without an end after this, an order's result is taken as unknown.
+    /// An order without a result after this time counts as `OrderResult::Unknown`.
     pub order_timeout: Duration,
-    /// A loaded adapter stays at least this long.
+    /// Minimum time for which a loaded adapter stays loaded.
     pub min_hold: Duration,
-    /// Half of an adapter's measured demand is forgotten in this time.
+    /// Half-life of the measured demand for an adapter.
     pub demand_half_life: Duration,
-    /// Requests that may wait in each class.
+    /// Maximum number of waiting requests in each class.
     pub queue_len: usize,
-    /// A waiting request whose entry node is silent for this long is dropped.
+    /// A waiting request that its entry node has not renewed for this long is dropped.
     pub waiter_ttl: Duration,
-    /// One grant in this many goes to background work, if any waits.
+    /// One grant in this many goes to a background request, if one is waiting.
     pub background_every: u32,
-    /// First wait after a failed load; doubles with each further failure.
+    /// Initial backoff after a failed load; doubles with each further failure.
     pub load_backoff: Duration,
-    /// Longest wait after failed loads.
+    /// Maximum backoff after failed loads.
     pub load_backoff_cap: Duration,
 }
 
 impl Tuning {
-    /// How long after a takeover nothing may be unloaded.
+    /// Time after a takeover during which nothing may be unloaded.
     pub fn quarantine(&self) -> Duration {
         self.grant_validity + self.start_window()
     }
 
-    /// How long after a grant its request may still be on the way, unseen in a report.
+    /// Time after a grant during which its request may still be missing from reports.
     pub fn start_window(&self) -> Duration {
         self.start_within + self.start_margin + self.report_lag
     }
--- a/crates/portrack/src/owner/view.rs
+++ b/crates/portrack/src/owner/view.rs
@@ -1,31 +1,31 @@
-//! What an owner tells the other daemons of its engine.
+//! Engine state that an owner publishes to the other daemons.
 
 use crate::types::{AdapterVersion, EngineName};
 use serde::{Deserialize, Serialize};
 
-/// Sent with every heartbeat.
+/// Load of an engine, sent with every heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The engine.
     pub engine: EngineName,
-    /// Version of the holdings; a receiver that has another one asks for them.
+    /// Version of the holdings; a receiver with another version requests them.
     pub holdings: u32,
-    /// Requests that could be granted now; zero while the owner may not grant.
+    /// Number of requests that could be granted now; zero while the owner may not grant.
     pub free: u16,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: u16,
-    /// Slots that are empty or could be emptied at once.
+    /// Number of slots that are empty or whose adapter could be unloaded at once.
     pub spare_slots: u16,
 }
 
-/// Which adapters an engine holds. Sent when it changes and when asked for.
+/// Adapters of an engine. Sent on every change and on request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
     /// The engine.
     pub engine: EngineName,
-    /// Grows with every change, within one ownership.
+    /// Increases with every change while the owner stays the same.
     pub version: u32,
-    /// Adapters that can be used.
+    /// Adapters that are loaded.
     pub ready: Vec<AdapterVersion>,
     /// Adapters that are being loaded.
     pub loading: Vec<AdapterVersion>,
--- a/crates/portrack/src/placement/demand.rs
+++ b/crates/portrack/src/placement/demand.rs
@@ -1,11 +1,11 @@
-//! Decayed request counts.
+//! Exponentially decaying request counts.
 
 use crate::types::{AdapterVersion, Time};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Counts below this are forgotten when the table is swept.
-const FORGET_BELOW: f64 = 0.01;
+/// Lower counts are removed when the table is swept.
+const MIN_COUNT: f64 = 0.01;
 
 #[derive(Debug, Clone, Copy)]
 struct Count {
@@ -13,7 +13,7 @@
     at: Time,
 }
 
-/// Requests for each adapter, each halved with every half-life that passes.
+/// Request count for each adapter, halved with every half-life that passes.
 #[derive(Debug, Clone)]
 pub struct Demand {
     half_life_ms: f64,
@@ -21,7 +21,7 @@
 }
 
 impl Demand {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(half_life: Duration) -> Self {
         Self { half_life_ms: half_life.as_millis().max(1) as f64, counts: HashMap::new() }
     }
@@ -31,7 +31,7 @@
         count.value * (-age / self.half_life_ms).exp2()
     }
 
-    /// Counts one request.
+    /// Counts a request for an adapter.
     pub fn note(&mut self, adapter: &AdapterVersion, now: Time) {
         let value = self.of(adapter, now) + 1.0;
         self.counts.insert(adapter.clone(), Count { value, at: now });
@@ -42,7 +42,7 @@
         self.counts.get(adapter).map_or(0.0, |count| self.decayed(*count, now))
     }
 
-    /// The adapter that is asked for most, of those that `fits` lets through.
+    /// The adapter with the highest count among those for which `fits` is true.
     pub fn highest(
         &self,
         now: Time,
@@ -56,21 +56,21 @@
         valued.max_by(order).map(|(adapter, value)| (adapter.clone(), value))
     }
 
-    /// Forgets adapters that are hardly asked for.
+    /// Removes adapters with a negligible count.
     pub fn sweep(&mut self, now: Time) {
         let half_life_ms = self.half_life_ms;
         self.counts.retain(|_, count| {
             let age = now.since(count.at).as_millis() as f64;
-            count.value * (-age / half_life_ms).exp2() >= FORGET_BELOW
+            count.value * (-age / half_life_ms).exp2() >= MIN_COUNT
         });
     }
 
-    /// Adapters remembered.
+    /// Number of adapters in the table.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// True if nothing is remembered.
+    /// True if the table is empty.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
--- a/crates/portrack/src/placement/mod.rs
+++ b/crates/portrack/src/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Which adapters are worth keeping.
+//! Adapter demand and eviction.
 
 mod demand;
 mod evict;
 
 pub use demand::Demand;
-pub use evict::{Candidate, cheapest};
+pub use evict::{EvictionCandidate, eviction_victim};
