--- a/crates/portrack/src/settings/adapter.rs
+++ b/crates/portrack/src/settings/adapter.rs
@@ -1,19 +1,19 @@
-//! Adapters, their versions and the rules about them.
+//! Definitions of adapters, with their versions and rules.
 
 use super::Rule;
 use crate::types::{BaseName, VersionName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One version of an adapter. Immutable once accepted.
+/// Definition of an adapter version. Immutable once accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionSpec {
-    /// Where the weight store keeps it.
+    /// Location of its weights in the weight store.
     pub weights: String,
 }
 
-/// An adapter.
+/// Definition of an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterSpec {
@@ -21,13 +21,13 @@
     pub base: BaseName,
     /// Its versions.
     pub versions: BTreeMap<VersionName, VersionSpec>,
-    /// Which requests each version may serve; a version without a rule serves none.
+    /// Rules that allow versions to serve requests; a version without a rule serves none.
     #[serde(default)]
     pub rules: Vec<Rule>,
 }
 
 impl AdapterSpec {
-    /// What is wrong with it, if anything.
+    /// Validates the definition and returns the problem found, if any.
     pub fn problem(&self) -> Option<String> {
         if self.versions.is_empty() {
             return Some("an adapter needs at least one version".into());
--- a/crates/portrack/src/settings/book.rs
+++ b/crates/portrack/src/settings/book.rs
@@ -1,34 +1,34 @@
-//! The settings that a daemon has in force.
+//! The settings in force in a daemon.
 
-use super::bucket::{EntryBody, decode};
+use super::entry::{EntryBody, decode};
 use super::{AdapterSpec, Overrides, PlainService, TreePath};
 use crate::types::{AdapterName, ServiceName};
 use crate::wire::{FetchEntry, SettingsMark};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What became of an entry that came in.
+/// Result of applying an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// It is in force.
+    /// The entry is in force.
     Newer,
-    /// It is not newer than what is in force.
+    /// The entry is not newer than the one in force.
     Older,
-    /// It cannot be used; what was in force stays.
+    /// The entry is invalid; the one in force stays.
     Refused(String),
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredEntry {
     revision: u64,
     value: Vec<u8>,
     body: EntryBody,
 }
 
-/// All entries, each at the highest revision seen.
+/// All entries, each at the highest valid revision seen.
 #[derive(Debug, Clone, Default)]
 pub struct Book {
-    entries: BTreeMap<String, Held>,
+    entries: BTreeMap<String, StoredEntry>,
     tree: BTreeMap<TreePath, Overrides>,
     services: BTreeMap<ServiceName, PlainService>,
     adapters: BTreeMap<AdapterName, AdapterSpec>,
@@ -37,13 +37,13 @@
 }
 
 impl Book {
-    /// Takes an entry in if its revision is higher than the one in force.
+    /// Applies an entry if its revision is higher than the one in force.
     pub fn apply(&mut self, entry: FetchEntry) -> Applied {
         let held = self.entries.get(&entry.key);
         if held.is_some_and(|held| held.revision >= entry.revision) {
             return Applied::Older;
         }
-        let body = match checked(&entry.value) {
+        let body = match decode_and_validate(&entry.value) {
             Ok(body) => body,
             Err(why) => {
                 self.refused.insert(entry.key, entry.revision);
@@ -57,8 +57,8 @@
         }
         self.insert(&body);
         self.refused.remove(&key);
-        self.update_mark(&key, revision);
-        self.entries.insert(key, Held { revision, value, body });
+        self.update_digest(&key, revision);
+        self.entries.insert(key, StoredEntry { revision, value, body });
         Applied::Newer
     }
 
@@ -89,8 +89,9 @@
         }
     }
 
-    /// The digest is the exclusive or over all entries, so that one change is one step.
-    fn update_mark(&mut self, key: &str, revision: u64) {
+    /// Updates the digest, an exclusive or over the hashes of all entries, which makes the update
+    /// incremental.
+    fn update_digest(&mut self, key: &str, revision: u64) {
         if let Some(held) = self.entries.get(key) {
             self.mark.digest ^= entry_hash(key, held.revision);
         }
@@ -98,31 +99,31 @@
         self.mark.revision = self.mark.revision.max(revision);
     }
 
-    /// Which settings are in force.
+    /// Digest and highest revision of the settings in force.
     pub fn mark(&self) -> SettingsMark {
         self.mark
     }
 
-    /// True if nothing has come in yet.
+    /// True if no entry is in force.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Entries that came in and could not be used, with their revisions.
+    /// Keys and revisions of the entries that were refused.
     pub fn refused(&self) -> &BTreeMap<String, u64> {
         &self.refused
     }
 
-    /// Key hashes and revisions, for a fetch from another daemon.
+    /// Key hashes and revisions of all entries, for a fetch from another daemon.
     pub fn have(&self) -> Vec<(u64, u64)> {
         let all = self.entries.iter();
         all.map(|(key, held)| (xxh3_64(key.as_bytes()), held.revision)).collect()
     }
 
-    /// The entries that are newer than what another daemon has.
+    /// The entries that are newer than those of another daemon.
     pub fn newer_than(&self, have: &[(u64, u64)]) -> Vec<FetchEntry> {
         let have: BTreeMap<u64, u64> = have.iter().copied().collect();
-        let newer = |key: &str, held: &Held| {
+        let newer = |key: &str, held: &StoredEntry| {
             have.get(&xxh3_64(key.as_bytes())).is_none_or(|theirs| *theirs < held.revision)
         };
         let entries = self.entries.iter().filter(|(key, held)| newer(key, held));
@@ -154,8 +155,9 @@
     xxh3_64(format!("{key}\0{revision}").as_bytes())
 }
 
-/// Settings are checked again before use: another build may have written them.
-fn checked(value: &[u8]) -> Result<EntryBody, String> {
+/// Decodes and validates an entry. Entries are validated before they are written as well, but
+/// possibly by another build.
+fn decode_and_validate(value: &[u8]) -> Result<EntryBody, String> {
     let body = decode(value)?.body;
     let problem = match &body {
         EntryBody::Node { .. } => None,
--- a/crates/portrack/src/settings/bootstrap.rs
+++ b/crates/portrack/src/settings/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The daemon's own file: what it must know before it can ask anybody.
+//! The daemon's bootstrap file: settings that it needs before it can reach the platform.
 
 use super::SettingsError;
 use super::error::ReadSnafu;
@@ -11,11 +11,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Everything in the file.
+/// Contents of the bootstrap file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bootstrap {
-    /// The cluster's name; daemons of other clusters are not listened to.
+    /// The cluster's name; messages from daemons of other clusters are ignored.
     pub cluster: String,
     /// This node's name.
     pub node: NodeName,
@@ -23,39 +23,39 @@
     pub hall: HallName,
     /// Its region.
     pub region: RegionName,
-    /// Where callers come in.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators come in.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where other daemons come in, by UDP and TCP.
+    /// Listen address for other daemons, for UDP and TCP.
     pub members: SocketAddr,
-    /// The file with the keys shared by all daemons.
+    /// File with the keys shared by all daemons.
     pub key_file: PathBuf,
-    /// The file with the operators' tokens; without it the operators' listener must be loopback.
+    /// File with the operators' tokens. Without it, the address for operators must be loopback.
     #[serde(default)]
     pub token_file: Option<PathBuf>,
-    /// The platform.
+    /// Platform settings.
     pub platform: PlatformSettings,
-    /// Other daemons to begin with.
+    /// Initial list of other daemons.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// Logging.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Where the platform is.
+/// Addresses and settings of the platform.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The key-value service, `http://host:port`.
+    /// Base URL of the key-value service, `http://host:port`.
     pub key_value: String,
-    /// The node list, a URL.
+    /// URL of the node list.
     pub node_list: String,
-    /// What every key begins with.
+    /// Prefix of all keys.
     #[serde(default = "default_prefix")]
     pub prefix: String,
-    /// Time between looks at the node list, in milliseconds.
+    /// Polling interval of the node list, in milliseconds.
     #[serde(default = "default_node_list_ms")]
     pub node_list_ms: u64,
 }
@@ -69,7 +69,7 @@
 }
 
 impl PlatformSettings {
-    /// Time between looks at the node list.
+    /// Polling interval of the node list, at least 100 ms.
     pub fn node_list_every(&self) -> Duration {
         Duration::from_millis(self.node_list_ms.max(100))
     }
@@ -85,7 +85,7 @@
     pub hall: HallName,
     /// Its region.
     pub region: RegionName,
-    /// Its members' address.
+    /// Its address for other daemons.
     pub address: SocketAddr,
 }
 
@@ -96,14 +96,14 @@
     }
 }
 
-/// Where log lines go.
+/// Log level and target.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
     /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "default_level")]
     pub level: log::LevelFilter,
-    /// `stderr`, `stdout` or a file's path.
+    /// `stderr`, `stdout` or the path of a file.
     #[serde(default = "default_target")]
     pub target: String,
 }
@@ -123,13 +123,13 @@
 }
 
 impl Bootstrap {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
         Self::parse(file, &text)
     }
 
-    /// Checks a file's text; `file` only names it in errors.
+    /// Parses and validates the text of a file; `file` is only used in errors.
     pub fn parse(file: &Path, text: &str) -> Result<Self, SettingsError> {
         let bootstrap: Self = parse_toml(file, text)?;
         match bootstrap.problem() {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The first key whose value does not fit, and why.
+    /// The first key with an invalid value, and the problem.
     fn problem(&self) -> Option<(&'static str, String)> {
         if self.cluster.is_empty() {
             return Some(("cluster", "must not be empty".into()));
--- a/crates/portrack/src/settings/change.rs
+++ b/crates/portrack/src/settings/change.rs
@@ -1,22 +1,22 @@
-//! A change of the settings: one value of one entry.
+//! Changes of the settings. A change affects one value of one entry.
 
-use super::bucket::{Entry, EntryBody, FORMAT, MAX_ENTRY, adapter_key, encode, tree_key};
+use super::entry::{Entry, EntryBody, FORMAT, MAX_ENTRY_BYTES, adapter_key, encode, tree_key};
 use super::{AdapterSpec, KEYS, KeySpec, PlainService, TreePath};
 use crate::audit::{AuditRecord, ChangeId};
 use crate::types::{AdapterName, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The key of the entry with all plain services, below the prefix.
+/// Key of the entry with all plain services, relative to the prefix.
 const SERVICES_KEY: &str = "services";
-/// The longest reason kept, in bytes.
-const MAX_WHY: usize = 500;
+/// Maximum length of the operator's reason, in bytes.
+const MAX_REASON_LEN: usize = 500;
 
-/// What is to be changed; `None` removes.
+/// An edit of one value; `None` removes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Edit {
-    /// A key of a tree node.
+    /// Sets a key of a tree node.
     Set {
         /// The tree node.
         path: TreePath,
@@ -25,32 +25,32 @@
         /// Its value.
         value: Option<u64>,
     },
-    /// A plain service.
+    /// Sets a plain service.
     Service {
         /// Its name.
         name: ServiceName,
-        /// What it is.
+        /// Its definition.
         spec: Option<PlainService>,
     },
-    /// An adapter with its versions and rules.
+    /// Sets an adapter with its versions and rules.
     Adapter {
         /// Its name.
         name: AdapterName,
-        /// What it is.
+        /// Its definition.
         spec: Option<AdapterSpec>,
     },
 }
 
-/// An edit with its author.
+/// An edit with its id, reason and precondition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Names the change; sending it twice changes once.
+    /// Identifies the change, so that repeating it has no further effect.
     pub id: ChangeId,
     /// The operator's reason.
     #[serde(default)]
     pub why: String,
-    /// The value that the operator saw, as JSON. Left out, any value is replaced.
+    /// The value that the edit may replace, as JSON. If `None`, any value is replaced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected: Option<String>,
     /// The edit.
@@ -58,7 +58,7 @@
 }
 
 impl Edit {
-    /// The key of the entry it changes, below the prefix.
+    /// Key of the affected entry, relative to the prefix.
     pub fn entry_key(&self) -> String {
         match self {
             Self::Set { path, .. } => tree_key(path),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What it changes, for people.
+    /// Human-readable name of the affected setting.
     pub fn what(&self) -> String {
         match self {
             Self::Set { path, key, .. } => format!("{path} {key}"),
@@ -76,17 +76,17 @@
         }
     }
 
-    /// The value it wants, as JSON.
+    /// The new value, as JSON.
     pub fn after(&self) -> String {
         let json = match self {
             Self::Set { value, .. } => serde_json::to_string(value),
             Self::Service { spec, .. } => serde_json::to_string(spec),
             Self::Adapter { spec, .. } => serde_json::to_string(spec),
         };
-        json.expect("settings have string keys only")
+        json.expect("settings can be encoded as JSON")
     }
 
-    /// The value that an entry has in its place, as JSON.
+    /// The current value of the affected setting in an entry, as JSON.
     pub fn current(&self, body: Option<&EntryBody>) -> String {
         let json = match (self, body) {
             (Self::Set { key, .. }, Some(EntryBody::Node { set, .. })) => {
@@ -100,10 +100,10 @@
             }
             _ => Ok("null".to_owned()),
         };
-        json.expect("settings have string keys only")
+        json.expect("settings can be encoded as JSON")
     }
 
-    /// What is wrong with it by itself, if anything.
+    /// Validates the edit and returns the problem found, if any.
     pub fn problem(&self) -> Option<String> {
         match self {
             Self::Set { path, key, value } => set_problem(path, key, *value),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The entry's body after the edit.
+    /// Returns the entry's body after the edit.
     fn apply(&self, body: Option<EntryBody>) -> EntryBody {
         match self {
             Self::Set { path, key, value } => {
@@ -164,15 +164,15 @@
 }
 
 impl Change {
-    /// What is wrong with it, if anything.
+    /// Validates the change and returns the problem found, if any.
     pub fn problem(&self) -> Option<String> {
-        if self.why.len() > MAX_WHY {
-            return Some(format!("the reason has more than {MAX_WHY} bytes"));
+        if self.why.len() > MAX_REASON_LEN {
+            return Some(format!("the reason is longer than {MAX_REASON_LEN} bytes"));
         }
         self.edit.problem()
     }
 
-    /// The new entry and the record that goes with it.
+    /// Builds the encoded new entry and its audit record.
     pub fn build(
         &self,
         who: &str,
@@ -191,8 +191,11 @@
         };
         let body = self.edit.apply(body);
         let value = encode(&Entry { format: FORMAT, change: record.clone(), body });
-        if value.len() > MAX_ENTRY {
-            return Err(format!("the entry would have {} bytes, over {MAX_ENTRY}", value.len()));
+        if value.len() > MAX_ENTRY_BYTES {
+            return Err(format!(
+                "the entry would have {} bytes, more than the limit of {MAX_ENTRY_BYTES}",
+                value.len()
+            ));
         }
         Ok((value, record))
     }
--- a/crates/portrack/src/settings/effective.rs
+++ b/crates/portrack/src/settings/effective.rs
@@ -1,14 +1,14 @@
-//! The settings that hold at one place.
+//! The effective settings at one place.
 
 use super::{KEYS, Overrides};
 use crate::loads::Budget;
 use crate::node::Tunables;
 use std::time::Duration;
 
-/// Percentage points in a whole.
+/// Percentage that corresponds to a fraction of 1.
 const PERCENT: f64 = 100.0;
 
-/// Every key with its value.
+/// The effective value of every key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Effective(Overrides);
 
@@ -42,17 +42,17 @@
         Duration::from_secs(self.get(key))
     }
 
-    /// How long a request may wait for its start.
+    /// Maximum time until a request must start.
     pub fn deadline(&self) -> Duration {
         self.millis("deadline_ms")
     }
 
-    /// The largest body taken, in bytes.
+    /// Maximum body size of a request, in bytes.
     pub fn body_limit(&self) -> usize {
         usize::try_from(self.get("body_limit")).unwrap_or(usize::MAX)
     }
 
-    /// How long a planned stop waits.
+    /// Maximum time for which a planned stop waits for requests in flight.
     pub fn drain(&self) -> Duration {
         self.seconds("drain_s")
     }
@@ -62,7 +62,7 @@
         self.get("retry_budget") as f64 / PERCENT
     }
 
-    /// The numbers that the decisions go by.
+    /// The tunables of a node, based on `base`.
     pub fn tunables(&self, base: &Tunables) -> Tunables {
         let mut tunables = base.clone();
         let owner = &mut tunables.owner;
--- a/crates/portrack/src/settings/entry.rs
+++ b/crates/portrack/src/settings/entry.rs
@@ -1,4 +1,4 @@
-//! Entries: how settings lie in the key-value service.
+//! Entries: the format of settings in the key-value service.
 
 use super::{AdapterSpec, Overrides, PlainService, TreePath};
 use crate::audit::AuditRecord;
@@ -7,34 +7,34 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Buckets that adapters are hashed into: 10,000 adapters make about 40 a bucket.
+/// Number of buckets that adapters are hashed into. 10,000 adapters make about 40 per bucket.
 pub const BUCKETS: u64 = 256;
-/// The format written. A daemon refuses entries of a later one and keeps what it has.
+/// Version of the entry format. A daemon refuses entries in another format and keeps its settings.
 pub const FORMAT: u32 = 1;
-/// The largest entry written, in bytes: the service takes a megabyte.
-pub const MAX_ENTRY: usize = 900_000;
+/// Maximum size of an entry, in bytes. The key-value service accepts up to a megabyte.
+pub const MAX_ENTRY_BYTES: usize = 900_000;
 
-/// One entry: a part of the settings together with the record of its last change.
+/// An entry: part of the settings, with the record of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The format, [`FORMAT`].
+    /// Version of the format, [`FORMAT`].
     pub format: u32,
-    /// The change that made it what it is.
+    /// The last change.
     pub change: AuditRecord,
-    /// The part itself.
+    /// The settings.
     pub body: EntryBody,
 }
 
-/// The part of the settings that an entry holds.
+/// The settings that an entry contains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryBody {
     /// A node of the tree.
     Node {
-        /// Which.
+        /// Path of the node.
         path: TreePath,
-        /// What it sets.
+        /// The values that it sets.
         set: Box<Overrides>,
     },
     /// All plain services.
@@ -43,31 +43,31 @@
     Adapters(BTreeMap<AdapterName, AdapterSpec>),
 }
 
-/// The key of a tree node, below the prefix.
+/// Key of a tree node, relative to the prefix.
 pub fn tree_key(path: &TreePath) -> String {
     format!("tree/{path}")
 }
 
-/// The key of the bucket that an adapter lies in, below the prefix.
+/// Key of the bucket that contains an adapter, relative to the prefix.
 pub fn adapter_key(adapter: &AdapterName) -> String {
     let bucket = xxh3_64(adapter.as_str().as_bytes()) % BUCKETS;
     format!("adapters/{bucket:02x}")
 }
 
-/// Writes an entry.
+/// Encodes an entry.
 pub fn encode(entry: &Entry) -> Vec<u8> {
-    serde_json::to_vec(entry).expect("an entry has string keys only")
+    serde_json::to_vec(entry).expect("an entry can be encoded as JSON")
 }
 
-/// Reads an entry, or says why it cannot be used.
+/// Decodes an entry, or returns why it cannot be used.
 pub fn decode(value: &[u8]) -> Result<Entry, String> {
     #[derive(Deserialize)]
     struct FormatOnly {
         format: u32,
     }
-    let head: FormatOnly = serde_json::from_slice(value).map_err(|e| e.to_string())?;
-    if head.format != FORMAT {
-        return Err(format!("format {} is not known here, only {FORMAT}", head.format));
+    let header: FormatOnly = serde_json::from_slice(value).map_err(|e| e.to_string())?;
+    if header.format != FORMAT {
+        return Err(format!("unsupported format {}, expected {FORMAT}", header.format));
     }
     serde_json::from_slice(value).map_err(|e| e.to_string())
 }
--- a/crates/portrack/src/settings/error.rs
+++ b/crates/portrack/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file cannot be used.
+//! Errors of settings files.
 
 use snafu::Snafu;
 use std::path::PathBuf;
@@ -7,34 +7,34 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is no TOML, or a key is unknown, missing or of a wrong type.
+    /// The file is not valid TOML, or a key is unknown, missing or of the wrong type.
     #[snafu(display("{}:{line}: {message}", file.display()))]
     Parse {
         /// The file.
         file: PathBuf,
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
-        /// What is wrong, with the key.
+        /// The problem, with the key.
         message: String,
     },
-    /// The keys do not fit together.
+    /// A value is invalid or inconsistent with others.
     #[snafu(display("{}:{line}: {key}: {message}", file.display()))]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
         /// The key.
         key: String,
-        /// What is wrong.
+        /// The problem.
         message: String,
     },
 }
--- a/crates/portrack/src/settings/file.rs
+++ b/crates/portrack/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! A file of settings that operators apply.
+//! Settings files that operators apply.
 
 use super::error::ReadSnafu;
 use super::parse::parse_toml;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What the file states. What it does not name stays as it is.
+/// Contents of a settings file. Settings that it does not contain stay unchanged.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsFile {
@@ -24,36 +24,36 @@
     pub adapters: BTreeMap<AdapterName, AdapterSpec>,
 }
 
-/// One difference between a file and what is in force.
+/// A difference between a file and the settings in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
-    /// The edit that removes it.
+    /// The edit that resolves it.
     pub edit: Edit,
     /// The value in force, as JSON.
     pub before: String,
 }
 
 impl SettingsFile {
-    /// Reads and checks a file as a whole.
+    /// Reads and validates a file.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
         Self::parse(file, &text)
     }
 
-    /// Checks a file's text; `file` only names it in errors.
+    /// Parses and validates the text of a file; `file` is only used in errors.
     pub fn parse(file: &Path, text: &str) -> Result<Self, SettingsError> {
         let parsed: Self = parse_toml(file, text)?;
         for edit in parsed.edits() {
             if let Some(message) = edit.problem() {
                 let key = edit.what();
-                let line = line_naming(text, &edit);
+                let line = line_of_edit(text, &edit);
                 return Err(SettingsError::Invalid { file: file.into(), line, key, message });
             }
         }
         Ok(parsed)
     }
 
-    /// Everything the file states, as edits.
+    /// All settings in the file, as edits.
     fn edits(&self) -> Vec<Edit> {
         let mut edits = Vec::new();
         for (path, set) in &self.tree {
@@ -72,8 +72,8 @@
         edits
     }
 
-    /// What would have to change for the file to hold. `current` gives the value in force in the
-    /// place of an edit, as JSON.
+    /// Differences between the file and the settings in force. `current` returns the value in force
+    /// for the setting that an edit affects, as JSON.
     pub fn differences(&self, current: impl Fn(&Edit) -> String) -> Vec<Difference> {
         let with_before = |edit: Edit| {
             let before = current(&edit);
@@ -84,8 +84,8 @@
     }
 }
 
-/// The line of the table that an edit comes from, or of its key within it.
-fn line_naming(text: &str, edit: &Edit) -> usize {
+/// The line of the key that an edit comes from, or of its table if it has no key.
+fn line_of_edit(text: &str, edit: &Edit) -> usize {
     let (table, key) = match edit {
         Edit::Set { path, key, .. } => (path.to_string(), Some(key.as_str())),
         Edit::Service { name, .. } => (name.to_string(), None),
--- a/crates/portrack/src/settings/keys.rs
+++ b/crates/portrack/src/settings/keys.rs
@@ -1,27 +1,27 @@
-//! The keys of the tree: one table gives names, units, ranges, defaults and meaning.
+//! The keys of the settings tree, defined in one table with units, ranges, defaults and meanings.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of a key.
+/// Definition of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeySpec {
     /// Its name.
     pub name: &'static str,
     /// Its unit.
     pub unit: &'static str,
-    /// Its value where nothing is set.
+    /// Value if no tree node sets it.
     pub default: u64,
-    /// The least value accepted.
+    /// Minimum value.
     pub min: u64,
-    /// The greatest value accepted.
+    /// Maximum value.
     pub max: u64,
-    /// What it does.
+    /// Description.
     pub meaning: &'static str,
 }
 
 macro_rules! keys {
     ($($name:ident: $unit:literal, $default:literal, $min:literal..=$max:literal, $meaning:literal;)*) => {
-        /// Every key, in the order of the documentation.
+        /// All keys, in the order of the documentation.
         pub const KEYS: &[KeySpec] = &[$(KeySpec {
             name: stringify!($name),
             unit: $unit,
@@ -31,7 +31,7 @@
             meaning: $meaning,
         }),*];
 
-        /// What one node of the tree sets; the rest is inherited.
+        /// The values that a tree node sets; other values are inherited.
         #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Overrides {
@@ -43,7 +43,7 @@
         }
 
         impl Overrides {
-            /// The value set for a key, if it is set here.
+            /// The value of a key, if this node sets it.
             pub fn get(&self, key: &str) -> Option<u64> {
                 match key {
                     $(stringify!($name) => self.$name,)*
@@ -51,7 +51,7 @@
                 }
             }
 
-            /// Sets or unsets a key. Returns false if there is none of that name.
+            /// Sets or unsets a key. Returns false if the key does not exist.
             pub fn put(&mut self, key: &str, value: Option<u64>) -> bool {
                 match key {
                     $(stringify!($name) => self.$name = value,)*
--- a/crates/portrack/src/settings/operators.rs
+++ b/crates/portrack/src/settings/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' tokens.
+//! Operators and their tokens.
 
 use super::SettingsError;
 use super::error::ReadSnafu;
@@ -6,24 +6,24 @@
 use std::path::Path;
 use subtle::ConstantTimeEq;
 
-/// The shortest token accepted, in bytes.
-const MIN_TOKEN: usize = 16;
-/// The name in the trail where no tokens are set up.
+/// Minimum length of a token, in bytes.
+const MIN_TOKEN_LEN: usize = 16;
+/// Operator name in the audit trail if no tokens are configured.
 const ANONYMOUS: &str = "loopback";
 
 /// An operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operator {
-    /// The name that the audit trail shows.
+    /// Name in the audit trail.
     pub name: String,
 }
 
-/// Who may operate: a `name token` pair a line.
+/// The operators, read from a file with one `name token` pair per line.
 #[derive(Clone, Default)]
 pub struct Operators(Option<Vec<(String, String)>>);
 
 impl Operators {
-    /// Anybody who reaches the listener, under one name.
+    /// Accepts every client that can reach the listener, under one name.
     pub fn anybody() -> Self {
         Self(None)
     }
@@ -39,13 +39,15 @@
             }
             let pair = line.split_once(char::is_whitespace);
             let pair = pair.map(|(name, token)| (name.to_owned(), token.trim().to_owned()));
-            match pair.filter(|(_, token)| token.len() >= MIN_TOKEN) {
+            match pair.filter(|(_, token)| token.len() >= MIN_TOKEN_LEN) {
                 Some(pair) => all.push(pair),
                 None => {
                     return Err(SettingsError::Parse {
                         file: file.to_owned(),
                         line: at + 1,
-                        message: format!("expected: name token, of at least {MIN_TOKEN} bytes"),
+                        message: format!(
+                            "expected a name and a token of at least {MIN_TOKEN_LEN} bytes"
+                        ),
                     });
                 }
             }
@@ -53,7 +55,7 @@
         Ok(Self(Some(all)))
     }
 
-    /// Who sent this `Authorization` header. Compares every token in constant time.
+    /// The operator that sent this `Authorization` header. Compares every token in constant time.
     pub fn identify(&self, header: Option<&str>) -> Option<Operator> {
         let Some(all) = &self.0 else {
             return Some(Operator { name: ANONYMOUS.to_owned() });
--- a/crates/portrack/src/settings/parse.rs
+++ b/crates/portrack/src/settings/parse.rs
@@ -1,11 +1,11 @@
-//! TOML with errors that name file, line and key.
+//! TOML parsing with errors that name file, line and key.
 
 use super::SettingsError;
 use super::error::ParseSnafu;
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Parses a text; `file` only names it in errors.
+/// Parses a text; `file` is only used in errors.
 pub fn parse_toml<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
     let error: toml::de::Error = match toml::from_str(text) {
         Ok(parsed) => return Ok(parsed),
@@ -20,7 +20,7 @@
     text.as_bytes().iter().take(offset).filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// Puts the key of the line before a message that does not name it.
+/// Prefixes a message with the key of its line, unless the message names it already.
 fn with_key(text: &str, line: usize, message: String) -> String {
     let source = text.lines().nth(line - 1).unwrap_or_default();
     match source.split_once('=') {
--- a/crates/portrack/src/settings/path.rs
+++ b/crates/portrack/src/settings/path.rs
@@ -1,16 +1,16 @@
-//! Paths in the tree of settings.
+//! Paths in the settings tree.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// The longest name in a path, in bytes.
+/// Maximum length of a name in a path, in bytes.
 const MAX_SEGMENT: usize = 64;
 
 /// A level of the tree, from the root to the leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Level {
-    /// Everything.
+    /// The whole fleet.
     Fleet,
     /// A data hall.
     Hall,
@@ -21,7 +21,7 @@
 }
 
 /// A node of the tree, such as `fleet/hall:a/class:old/service:chat`. Levels may be left out:
-/// `fleet/service:chat` holds in every hall.
+/// `fleet/service:chat` applies in every hall.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TreePath {
@@ -33,10 +33,10 @@
     pub service: Option<String>,
 }
 
-/// Why a text is no path.
+/// Error from parsing a path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PathError {
-    /// It does not begin with `fleet`.
+    /// The path does not begin with `fleet`.
     Root,
     /// A part is not `hall:NAME`, `class:NAME` or `service:NAME`, in this order.
     Segment(String),
@@ -45,10 +45,10 @@
 impl fmt::Display for PathError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Root => f.write_str("a path begins with 'fleet'"),
+            Self::Root => f.write_str("a path must begin with 'fleet'"),
             Self::Segment(part) => write!(
                 f,
-                "{part:?} does not fit: after 'fleet' come hall:NAME, class:NAME and \
+                "invalid part {part:?}: 'fleet' may be followed by hall:NAME, class:NAME and \
                  service:NAME, each at most once and in this order"
             ),
         }
@@ -76,12 +76,12 @@
         }
     }
 
-    /// How many levels the path names beside the root.
+    /// Number of levels named below the root.
     pub fn depth(&self) -> usize {
         [&self.hall, &self.class, &self.service].into_iter().flatten().count()
     }
 
-    /// True if settings of this node hold at `place`.
+    /// True if settings of this node apply at `place`.
     pub fn covers(&self, place: &Self) -> bool {
         let fits = |mine: &Option<String>, its: &Option<String>| mine.is_none() || mine == its;
         fits(&self.hall, &place.hall)
--- a/crates/portrack/src/settings/plain.rs
+++ b/crates/portrack/src/settings/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services beside the model engines.
+//! Plain services, which run beside the model engines.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainService {
-    /// Requests whose path is this or begins with this and a slash go to the service.
+    /// Path prefix: requests to this path or below it are routed to the service.
     pub path: String,
-    /// Methods that may be repeated; every other is sent at most once.
+    /// Methods whose requests may be sent more than once.
     #[serde(default = "safe_methods")]
     pub repeatable: Vec<String>,
 }
@@ -18,17 +18,20 @@
 }
 
 impl PlainService {
-    /// What is wrong with it, if anything.
+    /// Validates the service and returns the problem found, if any.
     pub fn problem(&self) -> Option<String> {
         let reserved = ["/v1", "/healthz", "/readyz"];
         if !self.path.starts_with('/') || self.path.len() < 2 || self.path.ends_with('/') {
-            return Some(format!("path {:?} must begin and not end with '/'", self.path));
+            return Some(format!(
+                "path {:?} must begin with '/' and must not end with it",
+                self.path
+            ));
         }
         let taken = reserved.iter().find(|r| self.path == **r || self.path.starts_with("/v1/"));
-        taken.map(|_| format!("path {:?} is portrack's own", self.path))
+        taken.map(|_| format!("path {:?} is reserved for portrack", self.path))
     }
 
-    /// True if a request's path belongs to the service.
+    /// True if a request with this path is routed to the service.
     pub fn serves(&self, path: &str) -> bool {
         let rest = path.strip_prefix(self.path.as_str());
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/crates/portrack/src/settings/resolve.rs
+++ b/crates/portrack/src/settings/resolve.rs
@@ -1,41 +1,41 @@
-//! Inheritance: which value holds where, and where it comes from.
+//! Inheritance in the settings tree: resolves values and explains their origin.
 
 use super::{Book, Effective, KEYS, Overrides, TreePath};
 use serde::{Deserialize, Serialize};
 
-/// Where a value is asked for.
+/// The place for which a value is resolved.
 pub type Place = TreePath;
 
-/// A value and its origin.
+/// A resolved value and its origin.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The key.
     pub key: String,
-    /// The value in force.
+    /// The effective value.
     pub value: u64,
     /// Its unit.
     pub unit: String,
     /// The tree node that sets it, or `default`.
     pub from: String,
-    /// Every node that sets it, from the root on, with its value.
+    /// Every node that sets it, from the most general to the most specific, with its value.
     pub chain: Vec<(String, u64)>,
 }
 
 impl Book {
-    /// The nodes that hold at a place, from the most general to the most particular: by deepest
-    /// level, then by number of levels named.
+    /// The nodes that apply at a place, from the most general to the most specific: ordered by their
+    /// deepest level, then by the number of levels that they name.
     fn covering(&self, place: &Place) -> Vec<(&TreePath, &Overrides)> {
         let mut nodes: Vec<_> = self.tree().iter().filter(|(path, _)| path.covers(place)).collect();
         nodes.sort_by_key(|(path, _)| (path.level(), path.depth()));
         nodes
     }
 
-    /// All settings at a place.
+    /// All effective settings at a place.
     pub fn effective(&self, place: &Place) -> Effective {
         Effective::of(self.covering(place).into_iter().map(|(_, set)| set))
     }
 
-    /// Where the value of a key comes from; none if there is no such key.
+    /// Explains the origin of a key's value; `None` if the key does not exist.
     pub fn explain(&self, place: &Place, key: &str) -> Option<Explanation> {
         let spec = KEYS.iter().find(|spec| spec.name == key)?;
         let covering = self.covering(place).into_iter();
--- a/crates/portrack/src/settings/rule.rs
+++ b/crates/portrack/src/settings/rule.rs
@@ -1,18 +1,18 @@
-//! Rules: which requests a version may serve, and where.
+//! Rules that allow adapter versions to serve requests.
 
 use super::AdapterSpec;
 use crate::types::VersionName;
 use serde::{Deserialize, Serialize};
 
-/// Lets one version serve requests. What is left out holds for all.
+/// Allows a version to serve requests. A condition that is left out matches everything.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// The version.
     pub version: VersionName,
-    /// Its share of the requests that name no version, relative to the other rules that fit.
-    /// With 0 it serves only requests that name it.
-    #[serde(default = "whole_share")]
+    /// Its share of the requests without a version, relative to the other matching rules. With 0
+    /// it serves only requests that name the version.
+    #[serde(default = "default_share")]
     pub share: u32,
     /// Only requests of this service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -25,16 +25,16 @@
     pub class: Option<String>,
 }
 
-fn whole_share() -> u32 {
+fn default_share() -> u32 {
     100
 }
 
-/// What the rules make of a request.
+/// Result of applying the rules to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// The version it runs on.
     pub version: VersionName,
-    /// The node class it is held to, if any.
+    /// The node class that it is restricted to, if any.
     pub class: Option<String>,
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl AdapterSpec {
-    /// Resolves a request once. `named` is the version it asks for, `draw` a random number that
-    /// decides between shares.
+    /// Selects the version for a request. `named` is the version that the request names; `draw` is a
+    /// random number that selects between shares.
     pub fn route(
         &self,
         named: Option<&VersionName>,
--- a/crates/portrack/src/settings/store.rs
+++ b/crates/portrack/src/settings/store.rs
@@ -1,15 +1,15 @@
-//! Accepting a change: one compare-and-swap that carries value and record together.
+//! Accepts changes: a compare-and-swap writes the value and its audit record together.
 
-use super::bucket::{Entry, decode};
 use super::change::Change;
+use super::entry::{Entry, decode};
 use crate::audit::{AuditRecord, ChangeId};
 use crate::store::{Kv, KvError, KvPut};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 use std::rc::Rc;
 
-/// Tries until a change that keeps losing races is given up.
-const TRIES: usize = 5;
+/// Maximum number of attempts for a change that conflicts with other changes.
+const MAX_ATTEMPTS: usize = 5;
 
 /// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,36 +20,38 @@
     pub record: AuditRecord,
 }
 
-/// Why a change was not accepted.
+/// Error of a change that was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ChangeError {
-    /// It is not valid.
+    /// The change is not valid.
     #[snafu(display("{why}"))]
     Invalid {
-        /// What is wrong.
+        /// The problem.
         why: String,
     },
-    /// Somebody else changed the same value.
-    #[snafu(display("changed meanwhile by {by}: expected {expected}, found {found}"))]
+    /// The value differs from the expected one.
+    #[snafu(display("changed in the meantime by {by}: expected {expected}, found {found}"))]
     Conflict {
-        /// What the operator had seen.
+        /// The expected value.
         expected: String,
-        /// What is there.
+        /// The current value.
         found: String,
-        /// Who changed the entry last.
+        /// Author of the last change of the entry.
         by: String,
     },
-    /// The key-value service does not answer; nothing was changed.
-    #[snafu(display("the key-value service does not answer; nothing was changed"))]
+    /// The key-value service does not respond; nothing was changed.
+    #[snafu(display("the key-value service does not respond; nothing was changed"))]
     Unavailable,
-    /// The key-value service stopped answering; the change may have been accepted.
-    #[snafu(display("no answer from the key-value service; look for change {id} later"))]
+    /// The key-value service stopped responding; the change may have been accepted.
+    #[snafu(display(
+        "no response from the key-value service; change {id} may have been accepted, check it later"
+    ))]
     Unknown {
         /// The change.
         id: ChangeId,
     },
-    /// Too many other changes of the same entry at once.
-    #[snafu(display("too many changes at once; try again"))]
+    /// Too many concurrent changes of the same entry.
+    #[snafu(display("too many concurrent changes; try again"))]
     Busy,
 }
 
@@ -61,12 +63,12 @@
 }
 
 impl Store {
-    /// Settings under `prefix`.
+    /// Creates a store for settings under `prefix`.
     pub fn new(kv: Rc<dyn Kv>, prefix: impl Into<String>) -> Self {
         Self { kv, prefix: prefix.into() }
     }
 
-    /// What the keys of settings begin with.
+    /// Key prefix of the settings entries.
     pub fn entries_prefix(&self) -> String {
         format!("{}settings/", self.prefix)
     }
@@ -75,13 +77,13 @@
         format!("{}trail/{id}", self.prefix)
     }
 
-    /// What the keys of the trail begin with.
+    /// Key prefix of the audit trail.
     pub fn trail_prefix(&self) -> String {
         format!("{}trail/", self.prefix)
     }
 
-    /// Accepts a change, or says why not. A change that was accepted before is accepted again
-    /// without effect.
+    /// Accepts a change. A change that was accepted before is reported as accepted without being
+    /// applied again.
     pub async fn accept(
         &self,
         who: &str,
@@ -91,37 +93,37 @@
         if let Some(why) = change.problem() {
             return Err(ChangeError::Invalid { why });
         }
-        let mut unsure = false;
-        for _ in 0..TRIES {
+        let mut maybe_accepted = false;
+        for _ in 0..MAX_ATTEMPTS {
             match self.try_once(who, at_unix_ms, change).await {
                 Ok(Some(accepted)) => return Ok(accepted),
                 Ok(None) => {}
-                Err(TryError::Final(error)) => return Err(error),
-                Err(TryError::Lost) => unsure = true,
-                Err(TryError::Away) if unsure => {
+                Err(AttemptError::Final(error)) => return Err(error),
+                Err(AttemptError::Unknown) => maybe_accepted = true,
+                Err(AttemptError::Unavailable) if maybe_accepted => {
                     return Err(ChangeError::Unknown { id: change.id });
                 }
-                Err(TryError::Away) => return Err(ChangeError::Unavailable),
+                Err(AttemptError::Unavailable) => return Err(ChangeError::Unavailable),
             }
         }
-        match unsure {
+        match maybe_accepted {
             true => Err(ChangeError::Unknown { id: change.id }),
             false => Err(ChangeError::Busy),
         }
     }
 
-    /// One round; `None` if another change came between.
+    /// One attempt; `None` if another change was written concurrently.
     async fn try_once(
         &self,
         who: &str,
         at_unix_ms: u64,
         change: &Change,
-    ) -> Result<Option<Accepted>, TryError> {
+    ) -> Result<Option<Accepted>, AttemptError> {
         if let Some(accepted) = self.find(change.id).await? {
             return Ok(Some(accepted));
         }
         let key = format!("{}{}", self.entries_prefix(), change.edit.entry_key());
-        let held = self.kv.get(&key).await.map_err(|_| TryError::Away)?;
+        let held = self.kv.get(&key).await.map_err(|_| AttemptError::Unavailable)?;
         let revision = held.as_ref().map_or(0, |held| held.revision);
         let old = match held {
             Some(held) => Some(decode(&held.value).map_err(invalid)?),
@@ -129,7 +131,7 @@
         };
         check_expected(change, old.as_ref())?;
         let (value, record) = change.build(who, at_unix_ms, old).map_err(invalid)?;
-        let trail = serde_json::to_vec(&record).expect("a record has string keys only");
+        let trail = serde_json::to_vec(&record).expect("a record can be encoded as JSON");
         let puts = vec![
             KvPut { key: key.clone(), value },
             KvPut { key: self.trail_key(change.id), value: trail },
@@ -137,22 +139,22 @@
         match self.kv.swap(&key, revision, puts).await {
             Ok(Some(revision)) => Ok(Some(Accepted { revision, record })),
             Ok(None) => Ok(None),
-            Err(KvError::Unavailable) => Err(TryError::Away),
-            Err(KvError::Unknown) => Err(TryError::Lost),
+            Err(KvError::Unavailable) => Err(AttemptError::Unavailable),
+            Err(KvError::Unknown) => Err(AttemptError::Unknown),
         }
     }
 
-    /// The change, if the trail has it.
-    async fn find(&self, id: ChangeId) -> Result<Option<Accepted>, TryError> {
+    /// Looks up a change in the audit trail.
+    async fn find(&self, id: ChangeId) -> Result<Option<Accepted>, AttemptError> {
         let key = self.trail_key(id);
-        let Some(held) = self.kv.get(&key).await.map_err(|_| TryError::Away)? else {
+        let Some(held) = self.kv.get(&key).await.map_err(|_| AttemptError::Unavailable)? else {
             return Ok(None);
         };
         let record = serde_json::from_slice(&held.value).map_err(|e| invalid(e.to_string()))?;
         Ok(Some(Accepted { revision: held.revision, record }))
     }
 
-    /// The trail, oldest first.
+    /// The audit trail, oldest record first.
     pub async fn trail(&self) -> Result<Vec<AuditRecord>, KvError> {
         let held = self.kv.list(&self.trail_prefix()).await?;
         let records = held.entries.into_iter();
@@ -163,20 +165,20 @@
     }
 }
 
-enum TryError {
-    /// No answer to a read.
-    Away,
-    /// No answer to the swap.
-    Lost,
-    /// Decided.
+enum AttemptError {
+    /// No response to a read.
+    Unavailable,
+    /// No response to the compare-and-swap.
+    Unknown,
+    /// The change is rejected.
     Final(ChangeError),
 }
 
-fn invalid(why: String) -> TryError {
-    TryError::Final(ChangeError::Invalid { why })
+fn invalid(why: String) -> AttemptError {
+    AttemptError::Final(ChangeError::Invalid { why })
 }
 
-fn check_expected(change: &Change, old: Option<&Entry>) -> Result<(), TryError> {
+fn check_expected(change: &Change, old: Option<&Entry>) -> Result<(), AttemptError> {
     let Some(expected) = &change.expected else { return Ok(()) };
     let found = change.edit.current(old.map(|entry| &entry.body));
     if found == *expected {
@@ -184,5 +186,5 @@
     }
     let by = old.map_or_else(|| "nobody".to_owned(), |entry| entry.change.who.clone());
     let expected = expected.clone();
-    Err(TryError::Final(ChangeError::Conflict { expected, found, by }))
+    Err(AttemptError::Final(ChangeError::Conflict { expected, found, by }))
 }
