--- a/crates/portrack/src/membership/member.rs
+++ b/crates/portrack/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One other daemon, as this one sees it.
+//! State of another daemon as seen by this one.
 
 use super::Scope;
 use crate::types::{HallName, NodeName, RegionName, Time};
@@ -14,54 +14,54 @@
     pub hall: HallName,
     /// Its region.
     pub region: RegionName,
-    /// Where it takes datagrams and fetches.
+    /// Address for datagrams and fetches.
     pub address: SocketAddr,
 }
 
-/// What is believed of a member.
+/// Health of a member according to its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Known of, not heard yet.
+    /// No heartbeat received yet.
     Unheard,
-    /// Heard lately.
+    /// A heartbeat was received recently.
     Alive,
-    /// Not heard for a while.
+    /// No heartbeat for some intervals; may have failed.
     Suspect,
-    /// Not heard for long.
+    /// Considered failed.
     Dead,
 }
 
-/// A member.
+/// A member of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Where it is.
+    /// Node, location and address.
     pub peer: Peer,
-    /// How far away.
+    /// Distance from this daemon.
     pub scope: Scope,
-    /// Its latest incarnation heard.
+    /// Latest incarnation seen.
     pub incarnation: u64,
-    /// What is believed of it.
+    /// Health.
     pub health: Health,
-    /// What it says of itself.
+    /// State that it reports.
     pub state: MemberState,
-    /// When it was last heard.
+    /// When its last heartbeat was received.
     pub heard_at: Time,
     /// The settings it has in force.
     pub settings: SettingsMark,
-    /// Whether it sees the platform.
+    /// Whether it can reach the platform.
     pub platform: bool,
-    /// Whom it suspects.
+    /// Nodes that it suspects.
     pub suspects: Vec<NodeName>,
 }
 
 impl Member {
-    /// True if it can be given work: heard, and not leaving.
+    /// True if it can be given work: alive or suspected, and not leaving.
     pub fn is_eligible(&self) -> bool {
-        let heard = matches!(self.health, Health::Alive | Health::Suspect);
-        heard && self.state == MemberState::Alive
+        let present = matches!(self.health, Health::Alive | Health::Suspect);
+        present && self.state == MemberState::Alive
     }
 
-    /// True if it can be talked to.
+    /// True if its heartbeats arrive.
     pub fn is_reachable(&self) -> bool {
         self.health == Health::Alive
     }
--- a/crates/portrack/src/membership/mod.rs
+++ b/crates/portrack/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who is there: heartbeats, suspicion, death, and the choice of one among the live.
+//! Cluster membership: heartbeats, failure detection, and rendezvous hashing over live nodes.
 
 mod member;
 mod rendezvous;
--- a/crates/portrack/src/membership/rendezvous.rs
+++ b/crates/portrack/src/membership/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Highest-random-weight hashing: everybody with the same list makes the same choice.
+//! Rendezvous (highest random weight) hashing: nodes with the same list make the same choice.
 
 use std::hash::Hasher;
 use xxhash_rust::xxh3::Xxh3;
@@ -19,7 +19,7 @@
     names.into_iter().max_by_key(|name| (weight(key, name.as_ref()), name.as_ref().to_owned()))
 }
 
-/// The names, highest weight first.
+/// The names in order of decreasing weight for this key.
 pub fn ranked<'a, T: AsRef<str> + ?Sized>(
     key: &str,
     names: impl IntoIterator<Item = &'a T>,
--- a/crates/portrack/src/membership/table.rs
+++ b/crates/portrack/src/membership/table.rs
@@ -1,16 +1,17 @@
-//! The state machine of the membership.
+//! State machine of the membership.
 
 use super::{Health, Member, Peer, Scope, Timing, highest, ranked};
 use crate::types::{HallName, Instance, NodeName, Time};
 use crate::wire::{Heartbeat, MemberState};
 use std::collections::BTreeMap;
 
-/// Daemons of a hall that may hold leases: 96 in 12 halls, each renewed every 10 s.
+/// Maximum number of daemons of a hall that hold leases. With 12 halls that makes 96 leases, each
+/// renewed every 10 s.
 const LEASE_HOLDERS: usize = 8;
-/// Daemons of a hall that watch the key-value service.
+/// Number of daemons of a hall that watch the key-value service.
 const WATCHERS: usize = 2;
 
-/// All members that this daemon knows, itself not among them.
+/// All members known to this daemon, except itself.
 #[derive(Debug, Clone)]
 pub struct Membership {
     me: Peer,
@@ -23,18 +24,18 @@
 }
 
 impl Membership {
-    /// A membership that knows only itself.
+    /// Creates a membership without other members.
     pub fn new(me: Peer, timing: Timing, now: Time) -> Self {
         let members = BTreeMap::new();
         Self { me, timing, leaving: false, members, version: 0, next_hall: now, next_remote: now }
     }
 
-    /// This node's own place.
+    /// This node's own entry.
     pub fn me(&self) -> &Peer {
         &self.me
     }
 
-    /// Adds peers that settings or the node list name. Known ones keep their state.
+    /// Adds peers from the settings or the node list. Known members keep their state.
     pub fn seed(&mut self, now: Time, peers: impl IntoIterator<Item = Peer>) {
         for peer in peers {
             if peer.node == self.me.node {
@@ -48,13 +49,14 @@
                     member.peer = peer;
                 }
                 None => {
-                    self.members.insert(peer.node.clone(), fresh(peer, scope, now));
+                    self.members.insert(peer.node.clone(), new_member(peer, scope, now));
                 }
             }
         }
     }
 
-    /// Takes the platform's list in. A list that does not name this node is no list of daemons.
+    /// Applies the platform's node list and removes dead members that it does not contain. A list
+    /// without this node is considered incomplete and removes none.
     pub fn listed(&mut self, now: Time, peers: Vec<Peer>) {
         let names: Vec<NodeName> = peers.iter().map(|peer| peer.node.clone()).collect();
         self.seed(now, peers);
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes a heartbeat in. Returns false if it is of an unknown node or an older incarnation.
+    /// Handles a heartbeat. Returns false if the node is unknown or the incarnation outdated.
     pub fn heard(&mut self, now: Time, from: &Instance, heartbeat: &Heartbeat) -> bool {
         let Some(member) = self.members.get_mut(&from.node) else {
             return false;
@@ -101,9 +103,9 @@
         true
     }
 
-    /// Judges silence, and returns whom to send heartbeats to now.
+    /// Updates the health of all members and returns the nodes to which heartbeats are due.
     pub fn tick(&mut self, now: Time) -> Vec<NodeName> {
-        self.judge(now);
+        self.update_health(now);
         let mut due = Vec::new();
         if now >= self.next_hall {
             self.next_hall = now + self.timing.hall_every;
@@ -117,13 +119,13 @@
         due
     }
 
-    fn judge(&mut self, now: Time) {
-        let verdicts: Vec<(NodeName, Health)> = self
+    fn update_health(&mut self, now: Time) {
+        let updates: Vec<(NodeName, Health)> = self
             .members
             .values()
-            .map(|member| (member.peer.node.clone(), self.verdict(now, member)))
+            .map(|member| (member.peer.node.clone(), self.next_health(now, member)))
             .collect();
-        for (node, health) in verdicts {
+        for (node, health) in updates {
             let Some(member) = self.members.get_mut(&node) else { continue };
             let was_eligible = member.is_eligible();
             member.health = health;
@@ -133,38 +135,39 @@
         }
     }
 
-    fn verdict(&self, now: Time, member: &Member) -> Health {
+    fn next_health(&self, now: Time, member: &Member) -> Health {
         if matches!(member.health, Health::Unheard | Health::Dead) {
             return member.health;
         }
         let silence = now.since(member.heard_at);
-        let pace = self.timing.pace(member.scope);
-        if silence < pace * self.timing.suspect_after {
+        let interval = self.timing.interval(member.scope);
+        if silence < interval * self.timing.suspect_after {
             return Health::Alive;
         }
-        if silence < pace * self.timing.dead_after {
+        if silence < interval * self.timing.dead_after {
             return Health::Suspect;
         }
-        let alone = silence >= pace * self.timing.alone_after;
-        match alone || self.others_agree(member) {
+        let long_silent = silence >= interval * self.timing.dead_unconfirmed_after;
+        match long_silent || self.is_missed_by_others(member) {
             true => Health::Dead,
             false => Health::Suspect,
         }
     }
 
-    /// True unless most of the live members of the hall still hear the member.
-    fn others_agree(&self, member: &Member) -> bool {
+    /// True unless most of the reachable members of the hall still receive its heartbeats. Always
+    /// true for a member of another hall.
+    fn is_missed_by_others(&self, member: &Member) -> bool {
         if member.scope != Scope::Hall {
             return true;
         }
         let node = &member.peer.node;
-        let witnesses = self.members.values().filter(|other| {
+        let observers = self.members.values().filter(|other| {
             other.scope == Scope::Hall && other.is_reachable() && other.peer.node != *node
         });
         let (mut missing, mut all) = (0, 0);
-        for witness in witnesses {
+        for observer in observers {
             all += 1;
-            missing += usize::from(witness.suspects.contains(node));
+            missing += usize::from(observer.suspects.contains(node));
         }
         missing * 2 >= all
     }
@@ -174,7 +177,7 @@
         members.map(|m| m.peer.node.clone())
     }
 
-    /// A few members of each hall of the other regions, the same ones every time.
+    /// A fixed selection of a few members from each hall of the other regions.
     fn far_peers(&self) -> Vec<NodeName> {
         let mut halls: BTreeMap<&HallName, Vec<&NodeName>> = BTreeMap::new();
         for member in self.members.values().filter(|m| m.scope == Scope::Far) {
@@ -188,18 +191,18 @@
         chosen
     }
 
-    /// Says that this node is leaving.
+    /// Marks this node as leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.version += 1;
     }
 
-    /// Changes whenever another set of nodes can be given work.
+    /// Increases whenever the set of nodes that can be given work changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What this node says of itself.
+    /// The state that this node reports.
     pub fn state(&self) -> MemberState {
         match self.leaving {
             true => MemberState::Leaving,
@@ -207,11 +210,11 @@
         }
     }
 
-    /// Nodes of the own hall that are suspected here.
+    /// Nodes of this hall that this node considers suspect or dead.
     pub fn suspects(&self) -> Vec<NodeName> {
-        let silent = |m: &&Member| matches!(m.health, Health::Suspect | Health::Dead);
+        let suspected = |m: &&Member| matches!(m.health, Health::Suspect | Health::Dead);
         let hall = self.members.values().filter(|m| m.scope == Scope::Hall);
-        hall.filter(silent).map(|m| m.peer.node.clone()).collect()
+        hall.filter(suspected).map(|m| m.peer.node.clone()).collect()
     }
 
     /// A member by its node.
@@ -224,21 +227,22 @@
         self.members.values()
     }
 
-    /// Nodes within a scope, this one included, that can be given work.
+    /// Nodes within a scope, including this one, that can be given work.
     pub fn eligible(&self, scope: Scope) -> impl Iterator<Item = &NodeName> {
         let others = self.members.values().filter(move |m| m.scope <= scope && m.is_eligible());
         let me = (!self.leaving).then_some(&self.me.node);
         others.map(|m| &m.peer.node).chain(me)
     }
 
-    /// Every hall of the region that is known, with the nodes that can be given work.
+    /// Every known hall of the region with the nodes that can be given work. This hall is listed
+    /// without nodes if this node does not reach a majority of it.
     pub fn by_hall(&self) -> BTreeMap<HallName, Vec<NodeName>> {
         let mut halls: BTreeMap<HallName, Vec<NodeName>> = BTreeMap::new();
         let own = halls.entry(self.me.hall.clone()).or_default();
         if !self.leaving {
             own.push(self.me.node.clone());
         }
-        let majority = self.hears_majority();
+        let majority = self.reaches_majority();
         for member in self.members.values().filter(|m| m.scope <= Scope::Region) {
             let nodes = halls.entry(member.peer.hall.clone()).or_default();
             if member.is_eligible() {
@@ -254,29 +258,29 @@
         halls
     }
 
-    /// True if this node hears more than half of the hall's nodes, or half of them with the one
-    /// that decides ties. Two parts of a hall that do not hear each other cannot both say so.
-    /// Nodes that announced their leaving keep nothing and do not count.
-    fn hears_majority(&self) -> bool {
+    /// True if this node reaches more than half of the hall's nodes, or exactly half including the
+    /// tie breaker. At most one side of a network partition in the hall can have the majority.
+    /// Leaving nodes keep no state and are not counted.
+    fn reaches_majority(&self) -> bool {
         let hall = self.members.values().filter(|m| m.scope == Scope::Hall);
         let staying: Vec<&Member> = hall.filter(|m| m.state == MemberState::Alive).collect();
-        let heard = 1 + staying.iter().filter(|m| m.is_reachable()).count();
+        let reached = 1 + staying.iter().filter(|m| m.is_reachable()).count();
         let known = 1 + staying.len();
-        if heard * 2 != known {
-            return heard * 2 > known;
+        if reached * 2 != known {
+            return reached * 2 > known;
         }
         let all = staying.iter().map(|m| &m.peer.node).chain([&self.me.node]);
-        let decides = highest("hall-tie", all);
-        let unheard = staying.iter().filter(|m| !m.is_reachable());
-        !unheard.map(|m| &m.peer.node).any(|node| Some(node) == decides)
+        let tie_breaker = highest("hall-tie", all);
+        let unreached = staying.iter().filter(|m| !m.is_reachable());
+        !unreached.map(|m| &m.peer.node).any(|node| Some(node) == tie_breaker)
     }
 
-    /// The owner of something in this hall.
+    /// The node of this hall that owns a key.
     pub fn owner_of(&self, key: &str) -> Option<&NodeName> {
         self.owner_in(&self.me.hall, key)
     }
 
-    /// Nodes of a hall of the region, this one included, that can be given work.
+    /// Nodes of a hall of the region, including this one, that can be given work.
     fn eligible_in(&self, hall: &HallName) -> Vec<&NodeName> {
         let region = self.members.values().filter(|m| m.scope <= Scope::Region);
         let there = region.filter(|m| m.peer.hall == *hall && m.is_eligible());
@@ -284,25 +288,25 @@
         there.map(|m| &m.peer.node).chain(me).collect()
     }
 
-    /// The owner of something in any hall of the region.
+    /// The node of the given hall of the region that owns a key.
     pub fn owner_in(&self, hall: &HallName, key: &str) -> Option<&NodeName> {
         highest(key, self.eligible_in(hall))
     }
 
-    /// The owner of an engine that needs a lease: one of a few daemons of its hall, so that few
-    /// leases have to be renewed.
+    /// The owner of an engine that needs a lease. Only a few daemons of each hall are eligible, to
+    /// limit the number of leases to renew.
     pub fn lease_owner_in(&self, hall: &HallName, key: &str) -> Option<&NodeName> {
         let ranked = ranked("lease-holder", self.eligible_in(hall));
         highest(key, ranked.into_iter().take(LEASE_HOLDERS))
     }
 
-    /// The nodes of the region that may plan loads, the first choice first.
+    /// The nodes of the region that can plan loads, in order of preference.
     pub fn planners(&self) -> Vec<NodeName> {
         let ranked = ranked("load-planner", self.eligible(Scope::Region));
         ranked.into_iter().cloned().collect()
     }
 
-    /// The two daemons of this hall that watch the key-value service.
+    /// The daemons of this hall that watch the key-value service.
     pub fn watchers(&self) -> Vec<NodeName> {
         let ranked = ranked("settings-watcher", self.eligible(Scope::Hall));
         ranked.into_iter().take(WATCHERS).cloned().collect()
@@ -314,7 +318,7 @@
     }
 }
 
-fn fresh(peer: Peer, scope: Scope, now: Time) -> Member {
+fn new_member(peer: Peer, scope: Scope, now: Time) -> Member {
     Member {
         peer,
         scope,
--- a/crates/portrack/src/membership/timing.rs
+++ b/crates/portrack/src/membership/timing.rs
@@ -1,28 +1,29 @@
-//! Paces and patience of the membership.
+//! Heartbeat intervals and failure detection timeouts.
 
 use super::Scope;
 use std::time::Duration;
 
-/// How often heartbeats go out and how long silence is borne.
+/// Heartbeat intervals and the number of missed intervals after which a member is suspected or
+/// considered dead.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
-    /// Between heartbeats in the hall.
+    /// Interval between heartbeats within the hall.
     pub hall_every: Duration,
-    /// Between heartbeats to other halls.
+    /// Interval between heartbeats to other halls.
     pub remote_every: Duration,
-    /// Silence, in paces, after which a member is suspected.
+    /// Missed heartbeat intervals after which a member is suspected.
     pub suspect_after: u32,
-    /// Silence, in paces, after which a suspect is dead if others miss it too.
+    /// Missed heartbeat intervals after which a suspect is dead if other members miss it too.
     pub dead_after: u32,
-    /// Silence, in paces, after which a suspect is dead whatever others say.
-    pub alone_after: u32,
-    /// Peers of each hall of another region.
+    /// Missed heartbeat intervals after which a suspect is dead without confirmation by others.
+    pub dead_unconfirmed_after: u32,
+    /// Number of peers in each hall of another region.
     pub far_peers: usize,
 }
 
 impl Timing {
-    /// The pace toward members of a scope.
-    pub fn pace(&self, scope: Scope) -> Duration {
+    /// Heartbeat interval for members of a scope.
+    pub fn interval(&self, scope: Scope) -> Duration {
         match scope {
             Scope::Hall => self.hall_every,
             Scope::Region | Scope::Far => self.remote_every,
@@ -37,7 +38,7 @@
             remote_every: Duration::from_secs(5),
             suspect_after: 3,
             dead_after: 5,
-            alone_after: 12,
+            dead_unconfirmed_after: 12,
             far_peers: 2,
         }
     }
--- a/crates/portrack/src/router/choice.rs
+++ b/crates/portrack/src/router/choice.rs
@@ -1,37 +1,37 @@
-//! The choice itself: two candidates, the better one.
+//! Selection of an engine for a request: power of two choices among engines with the adapter.
 
 use super::{EngineState, PrefixMemory, View, Wanted, Weights};
 use crate::membership::ranked;
 use crate::types::{EngineName, HallName};
 use rand::Rng;
 
-/// How the chosen engine comes to the adapter.
+/// Whether the selected engine has the adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
-    /// It holds the adapter.
+    /// The adapter is loaded.
     Warm,
-    /// It is loading the adapter.
+    /// The adapter is being loaded.
     Loading,
-    /// It has to load the adapter.
+    /// The adapter has to be loaded.
     Cold,
 }
 
-/// An engine for a request.
+/// The engine selected for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
     /// The engine.
     pub engine: EngineName,
-    /// How it comes to the adapter.
+    /// Whether it has the adapter.
     pub path: Path,
 }
 
-/// Cold engines looked at, in the order of the adapter's rendezvous hash.
+/// Number of cold engines considered, in the order of the adapter's rendezvous hash.
 const COLD_CANDIDATES: usize = 2;
-/// How much cheaper, in milliseconds, a later one must be.
+/// Minimum cost advantage, in milliseconds, for which a later cold engine is preferred.
 const COLD_MARGIN_MS: f64 = 1_000.0;
 
 impl View {
-    /// Chooses an engine. `is_owned` tells whether an engine has a live owner.
+    /// Selects an engine. `is_owned` returns whether an engine has a live owner.
     pub fn choose(
         &self,
         wanted: &Wanted,
@@ -50,7 +50,7 @@
         };
         let cost = |state: &EngineState| self.cost(state, wanted, hall, weights, prefixes);
         let holders: Vec<&EngineState> = self.holders(&wanted.adapter).filter(usable).collect();
-        let warm = better_of_two(&holders, rng, &cost);
+        let warm = two_random_choices(&holders, rng, &cost);
         let cold = self.cold(wanted, &usable, &cost);
         let best = match (warm, cold) {
             (Some(warm), Some(cold)) if cost(cold) < cost(warm) => cold,
@@ -61,9 +61,9 @@
         Some(Choice { engine: best.server.name.clone(), path })
     }
 
-    /// The first engines in the adapter's own order, so that all entry nodes look at the same
-    /// ones and one load serves them all. A later one is taken only if it is much cheaper: an
-    /// adapter that always comes back to the same engine is known there by its demand.
+    /// Selects among the first engines in the adapter's rendezvous order, so that all entry nodes
+    /// consider the same ones and a single load serves them all. A later one is selected only if
+    /// it is much cheaper: an adapter that returns to the same engine keeps its demand count there.
     fn cold<'a>(
         &'a self,
         wanted: &Wanted,
@@ -87,7 +87,7 @@
         best.map(|(_, state)| state)
     }
 
-    /// The expected wait on an engine, in milliseconds, less what speaks for it.
+    /// Expected wait on an engine, in milliseconds, less the bonus for a cached prompt prefix.
     fn cost(
         &self,
         state: &EngineState,
@@ -118,7 +118,8 @@
     }
 }
 
-/// A full batch costs the queue; a batch with room costs depth, or is sought for depth.
+/// Cost of the queue if the batch is full. Otherwise the cost of the batch depth, which turns into a
+/// bonus for deep batches if `Weights::batch` is above 0.5.
 fn queue_cost(free: u16, queued: u16, weights: &Weights) -> f64 {
     if free == 0 {
         return weights.queued_ms * (1.0 + f64::from(queued));
@@ -140,8 +141,9 @@
     }
 }
 
-/// Two at random, the cheaper one: fresh enough without herding on the single best.
-fn better_of_two<'a>(
+/// The cheaper of two random engines. Always taking the cheapest would send all entry nodes to the
+/// same engine, since their load data is slightly out of date.
+fn two_random_choices<'a>(
     states: &[&'a EngineState],
     rng: &mut impl Rng,
     cost: &impl Fn(&EngineState) -> f64,
--- a/crates/portrack/src/router/engine.rs
+++ b/crates/portrack/src/router/engine.rs
@@ -1,18 +1,18 @@
-//! A backend server and what is known of it.
+//! A backend server and its known state.
 
 use crate::owner::{Holdings, Load, Lock};
 use crate::types::{BaseName, EngineName, HallName, NodeName, RegionName, ServiceName, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a backend server does.
+/// Kind of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "kind")]
 pub enum BackendKind {
     /// A model engine with adapter slots.
     Engine {
-        /// The base model it runs.
+        /// Its base model.
         base: BaseName,
-        /// Whether it checks the fence of an order.
+        /// Whether it checks the fence of orders.
         checks_fence: bool,
     },
     /// A plain service.
@@ -31,9 +31,9 @@
     pub hall: HallName,
     /// Its region.
     pub region: RegionName,
-    /// `http://host:port`, without a slash at the end.
+    /// `http://host:port`, without a trailing slash.
     pub address: String,
-    /// Its hardware generation, a node class of the settings.
+    /// Its hardware generation: a node class of the settings.
     #[serde(default)]
     pub class: String,
     /// Relative speed of its hardware; 100 is the reference.
@@ -42,7 +42,7 @@
     /// True once it is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// Engine or plain service.
+    /// Engine or plain service, with its details.
     #[serde(flatten)]
     pub kind: BackendKind,
 }
@@ -51,23 +51,23 @@
     100
 }
 
-/// An engine as the router sees it.
+/// State of an engine as known to the router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
     /// Its entry in the node list.
     pub server: BackendServer,
-    /// The last word of its owner.
+    /// The latest load reported by its owner.
     pub load: Option<Load>,
-    /// Which daemon said so.
+    /// The daemon that reported the load.
     pub said_by: Option<NodeName>,
-    /// When it was said.
+    /// When the load was reported.
     pub said_at: Time,
-    /// What it holds.
+    /// Its adapters.
     pub holdings: Option<Holdings>,
 }
 
 impl EngineState {
-    /// What makes its owner the only one, if it is an engine.
+    /// The mechanism that ensures a single owner; `None` for a plain service.
     pub fn lock(&self) -> Option<Lock> {
         match &self.server.kind {
             BackendKind::Engine { checks_fence: true, .. } => Some(Lock::Fence),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The base model, if it is an engine.
+    /// The base model; `None` for a plain service.
     pub fn base(&self) -> Option<&BaseName> {
         match &self.server.kind {
             BackendKind::Engine { base, .. } => Some(base),
--- a/crates/portrack/src/router/prefix.rs
+++ b/crates/portrack/src/router/prefix.rs
@@ -1,43 +1,43 @@
-//! Which engine last served a prompt prefix.
+//! Cache of the engine that last served each prompt prefix.
 
 use crate::types::EngineName;
 use std::collections::HashMap;
 
-/// A bounded memory with two generations: when the younger is full, the older is dropped.
+/// A bounded cache with two generations: when the recent one is full, the previous one is dropped.
 #[derive(Debug, Clone)]
 pub struct PrefixMemory {
-    half: usize,
-    young: HashMap<u64, EngineName>,
-    old: HashMap<u64, EngineName>,
+    generation_size: usize,
+    recent: HashMap<u64, EngineName>,
+    previous: HashMap<u64, EngineName>,
 }
 
 impl PrefixMemory {
-    /// A memory of at most `capacity` prefixes.
+    /// Creates a cache of at most `capacity` prefixes.
     pub fn new(capacity: usize) -> Self {
-        let half = (capacity / 2).max(1);
-        Self { half, young: HashMap::new(), old: HashMap::new() }
+        let generation_size = (capacity / 2).max(1);
+        Self { generation_size, recent: HashMap::new(), previous: HashMap::new() }
     }
 
-    /// Notes that the engine has the prefix cached.
+    /// Records that the engine has the prefix cached.
     pub fn note(&mut self, prefix: u64, engine: EngineName) {
-        if self.young.len() >= self.half {
-            self.old = std::mem::take(&mut self.young);
+        if self.recent.len() >= self.generation_size {
+            self.previous = std::mem::take(&mut self.recent);
         }
-        self.young.insert(prefix, engine);
+        self.recent.insert(prefix, engine);
     }
 
     /// The engine that last served the prefix.
     pub fn engine(&self, prefix: u64) -> Option<&EngineName> {
-        self.young.get(&prefix).or_else(|| self.old.get(&prefix))
+        self.recent.get(&prefix).or_else(|| self.previous.get(&prefix))
     }
 
-    /// Prefixes remembered.
+    /// Number of cached prefixes.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.recent.len() + self.previous.len()
     }
 
-    /// True if nothing is remembered.
+    /// True if the cache is empty.
     pub fn is_empty(&self) -> bool {
-        self.young.is_empty() && self.old.is_empty()
+        self.recent.is_empty() && self.previous.is_empty()
     }
 }
--- a/crates/portrack/src/router/view.rs
+++ b/crates/portrack/src/router/view.rs
@@ -1,11 +1,11 @@
-//! The region's engines and the hall's services, as this daemon knows them.
+//! The region's engines and the hall's plain services, as known to this daemon.
 
 use super::{BackendKind, BackendServer, EngineState};
 use crate::owner::{Holdings, Load};
 use crate::types::{AdapterVersion, EngineName, NodeName, ServiceName, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the router chooses from.
+/// All servers that the router can select.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     version: u64,
@@ -14,14 +14,14 @@
 }
 
 impl View {
-    /// Takes the node list in. Servers that are not in it any more are forgotten.
+    /// Applies the node list. Servers that are no longer listed are removed.
     pub fn servers(&mut self, now: Time, list: Vec<BackendServer>) {
         let names: BTreeSet<EngineName> = list.iter().map(|s| s.name.clone()).collect();
         let gone: Vec<EngineName> =
             self.engines.keys().filter(|name| !names.contains(*name)).cloned().collect();
         for name in gone {
             self.version += 1;
-            self.forget_holdings(&name);
+            self.remove_holdings(&name);
             self.engines.remove(&name);
         }
         for server in list {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes an owner's load in. Returns true if its holdings must be asked for.
+    /// Applies an owner's load report. Returns true if its holdings must be requested.
     pub fn load(&mut self, now: Time, from: &NodeName, load: Load) -> bool {
         let Some(state) = self.engines.get_mut(&load.engine) else {
             return false;
@@ -58,13 +58,13 @@
         stale
     }
 
-    /// Takes an engine's holdings in.
+    /// Applies an engine's holdings.
     pub fn holdings(&mut self, holdings: Holdings) {
         let name = holdings.engine.clone();
         if !self.engines.contains_key(&name) {
             return;
         }
-        self.forget_holdings(&name);
+        self.remove_holdings(&name);
         for adapter in holdings.ready.iter().chain(&holdings.loading) {
             self.holders.entry(adapter.clone()).or_default().insert(name.clone());
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn forget_holdings(&mut self, engine: &EngineName) {
+    fn remove_holdings(&mut self, engine: &EngineName) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Counts a request that was just granted, until the owner's next word.
+    /// Counts a request that was just granted against the free places, until the next load report.
     pub fn note_grant(&mut self, engine: &EngineName) {
         let load = self.engines.get_mut(engine).and_then(|state| state.load.as_mut());
         if let Some(load) = load {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Changes whenever the node list does.
+    /// Increases whenever the node list changes.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -114,7 +114,7 @@
         self.engines.values()
     }
 
-    /// Engines that hold or load the adapter.
+    /// Engines on which the adapter is loaded or loading.
     pub fn holders(&self, adapter: &AdapterVersion) -> impl Iterator<Item = &EngineState> {
         let names = self.holders.get(adapter).into_iter().flatten();
         names.filter_map(|name| self.engines.get(name))
--- a/crates/portrack/src/router/wanted.rs
+++ b/crates/portrack/src/router/wanted.rs
@@ -1,19 +1,19 @@
-//! What the router is asked for.
+//! Routing requirements of a request.
 
 use crate::types::{AdapterVersion, BaseName, Class, EngineName};
 
-/// A request, as far as routing goes.
+/// What the router needs to know about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wanted {
-    /// What it runs on.
+    /// The adapter it runs on.
     pub adapter: AdapterVersion,
     /// The adapter's base model.
     pub base: BaseName,
-    /// The hardware generation that a rule holds it to, if any.
+    /// The hardware generation that a rule restricts it to, if any.
     pub node_class: Option<String>,
-    /// How urgent it is.
+    /// Urgency of the request.
     pub class: Class,
-    /// Hash of the beginning of the prompt.
+    /// Hash of the prompt prefix.
     pub prefix: u64,
     /// Engines already tried.
     pub tried: Vec<EngineName>,
--- a/crates/portrack/src/router/weights.rs
+++ b/crates/portrack/src/router/weights.rs
@@ -1,19 +1,19 @@
-//! The numbers the router goes by.
+//! Cost weights of the router.
 
 /// Costs, all in milliseconds of expected wait.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Weights {
-    /// A load, permit included.
+    /// A load, including the wait for its permit.
     pub load_ms: f64,
     /// One request ahead in a queue.
     pub queued_ms: f64,
-    /// What a step loses when its batch goes from empty to full.
+    /// Slowdown of a step from an empty to a full batch.
     pub depth_ms: f64,
-    /// What a cached prompt prefix saves.
+    /// Time saved by a cached prompt prefix.
     pub prefix_ms: f64,
-    /// The way to another hall of the region.
+    /// Network latency to another hall of the region.
     pub hall_ms: f64,
-    /// Pull toward engines whose batches are already deep; 0 none, 1 strong.
+    /// Preference for engines whose batches are already deep, from 0 (none) to 1 (strong).
     pub batch: f64,
 }
 
