--- a/crates/portrack/src/audit/record.rs
+++ b/crates/portrack/src/audit/record.rs
@@ -1,10 +1,10 @@
-//! One record of the trail.
+//! A record of the audit trail.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Names one change, so that a lost answer can be looked up.
+/// Identifies a change, so that its result can be looked up if the answer was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ChangeId(pub u128);
@@ -43,11 +43,11 @@
     pub id: ChangeId,
     /// The operator.
     pub who: String,
-    /// Milliseconds since 1970, by the clock of the daemon that took the change.
+    /// Unix time in milliseconds, by the clock of the daemon that accepted the change.
     pub at_unix_ms: u64,
     /// The operator's reason.
     pub why: String,
-    /// What was changed, for instance `fleet/hall:a stall_weight`.
+    /// The setting that was changed, for instance `fleet/hall:a stall_weight`.
     pub what: String,
     /// The value before, as JSON; `null` if there was none.
     pub before: String,
--- a/crates/portrack/src/lib.rs
+++ b/crates/portrack/src/lib.rs
@@ -1,6 +1,6 @@
-//! Serves very many LoRA adapters over a shared pool of model engines.
+//! Serves a large number of LoRA adapters on a shared pool of model engines.
 //!
-//! The decisions are state machines without sockets or clocks. A [`Node`] joins them:
+//! All decisions are made by state machines that use no sockets or clocks. A [`Node`] combines them:
 //!
 //! ```
 //! use portrack::membership::Peer;
@@ -15,11 +15,11 @@
 //! };
 //! let mut node = Node::new(me, 1, Tunables::default(), 7, Time(0));
 //! let effects: Vec<Effect> = node.on(Time(50), Input::Tick);
-//! assert!(effects.is_empty(), "a node that knows nobody has nothing to do");
+//! assert!(effects.is_empty(), "a node without peers has nothing to do");
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! A [`daemon`] carries events from sockets into a node, and its effects out again.
+//! A [`daemon`] passes events from sockets to a node and carries out the resulting effects.
 
 pub mod audit;
 pub mod daemon;
--- a/crates/portrack/src/reserve/action.rs
+++ b/crates/portrack/src/reserve/action.rs
@@ -1,4 +1,4 @@
-//! What a request does next.
+//! Actions of a request.
 
 use super::Grant;
 use crate::owner::Ask;
@@ -7,14 +7,14 @@
 /// An output of [`super::Request`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send this ask to the engine's owner.
+    /// Send an ask to the engine's owner.
     Send(EngineName, Ask),
-    /// Give the reservation back.
+    /// Release the reservation.
     Release(EngineName, ReservationId),
-    /// Start now.
+    /// Start the request on the granted engine.
     Start(Grant),
-    /// Choose another engine, then call [`super::Request::try_engine`].
+    /// Select another engine, then call [`super::Request::try_engine`].
     ChooseAgain,
-    /// It is over; the caller gets this at once.
+    /// The request has failed; the caller gets this refusal.
     GiveUp(Refusal),
 }
--- a/crates/portrack/src/reserve/mod.rs
+++ b/crates/portrack/src/reserve/mod.rs
@@ -1,4 +1,4 @@
-//! The entry node's side of a reservation: which engine to ask, when to ask again, when to stop.
+//! The entry node's side of a reservation: selects engines, repeats asks and gives up.
 
 mod action;
 mod patience;
--- a/crates/portrack/src/reserve/patience.rs
+++ b/crates/portrack/src/reserve/patience.rs
@@ -1,17 +1,17 @@
-//! How often and how long an entry node asks.
+//! Timeouts and retry limits of an entry node.
 
 use std::time::Duration;
 
-/// Spans and counts of the asking side.
+/// Timeouts and retry limits for reservations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Patience {
-    /// Until an ask is repeated for the first time; doubles each time.
+    /// Delay before the first repetition of an unanswered ask; doubles each time.
     pub repeat_after: Duration,
-    /// Asks without any answer before another engine is tried.
+    /// Number of unanswered asks after which another engine is tried.
     pub unanswered: u32,
-    /// How often a queued ask is renewed.
+    /// Interval between renewals of a queued ask.
     pub renew_every: Duration,
-    /// Engines tried for one request.
+    /// Maximum number of engines tried for one request.
     pub engines: usize,
     /// Must equal the owners' [`crate::owner::Tuning::start_within`].
     pub start_within: Duration,
--- a/crates/portrack/src/reserve/request.rs
+++ b/crates/portrack/src/reserve/request.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request that seeks a place.
+//! State machine of a request that needs a reservation.
 
 use super::{Action, Grant, Patience, Spec};
 use crate::owner::{Answer, Ask, Verdict};
@@ -6,33 +6,33 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Repetitions whose sending time is remembered.
-const REMEMBERED_ATTEMPTS: usize = 16;
+/// Maximum number of attempts whose send time is kept.
+const MAX_REMEMBERED_ATTEMPTS: usize = 16;
 
 #[derive(Debug, Clone)]
-struct Current {
+struct PendingAsk {
     engine: EngineName,
     id: ReservationId,
     attempt: u32,
     sent: VecDeque<(u32, Time)>,
     unanswered: u32,
     queued: bool,
-    next: Time,
+    next_send: Time,
 }
 
-/// A request on its way to a place.
+/// A request that is looking for an engine.
 #[derive(Debug, Clone)]
 pub struct Request {
     spec: Spec,
     patience: Patience,
-    current: Option<Current>,
+    current: Option<PendingAsk>,
     last_refusal: Option<(Reason, Duration)>,
     started: bool,
-    missed: Vec<EngineName>,
+    missing_once: Vec<EngineName>,
 }
 
 impl Request {
-    /// A request that has asked nobody yet.
+    /// Creates a request that has not sent an ask yet.
     pub fn new(spec: Spec, patience: Patience) -> Self {
         Self {
             spec,
@@ -40,30 +40,30 @@
             current: None,
             last_refusal: None,
             started: false,
-            missed: Vec::new(),
+            missing_once: Vec::new(),
         }
     }
 
-    /// What is sought, with the engines tried so far.
+    /// The requirements, with the engines tried so far.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// Asks this engine's owner under a fresh reservation.
+    /// Asks this engine's owner for a new reservation.
     pub fn try_engine(&mut self, now: Time, engine: EngineName, id: ReservationId) -> Vec<Action> {
-        self.current = Some(Current {
+        self.current = Some(PendingAsk {
             engine,
             id,
             attempt: 0,
             sent: VecDeque::new(),
             unanswered: 0,
             queued: false,
-            next: now,
+            next_send: now,
         });
         self.tick(now)
     }
 
-    /// No engine can be chosen.
+    /// Gives up because no engine can be selected.
     pub fn no_engine(&mut self) -> Action {
         let refusal = match self.last_refusal {
             Some((reason, after)) => Refusal::not_run(reason, detail(reason)).after(after),
@@ -73,7 +73,7 @@
         Action::GiveUp(refusal)
     }
 
-    /// Repeats, renews or ends the current ask.
+    /// Repeats, renews or ends the pending ask.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         if self.started {
             return Vec::new();
@@ -86,15 +86,15 @@
         let Some(current) = &mut self.current else {
             return Vec::new();
         };
-        if now < current.next {
+        if now < current.next_send {
             return Vec::new();
         }
         if current.unanswered >= patience.unanswered {
-            return self.elsewhere(Reason::NoBackend, Duration::from_secs(1));
+            return self.try_another(Reason::NoBackend, Duration::from_secs(1));
         }
         current.attempt += 1;
         current.sent.push_back((current.attempt, now));
-        if current.sent.len() > REMEMBERED_ATTEMPTS {
+        if current.sent.len() > MAX_REMEMBERED_ATTEMPTS {
             current.sent.pop_front();
         }
         let pause = match current.queued {
@@ -102,7 +102,7 @@
             false => patience.repeat_after * 2_u32.pow(current.unanswered),
         };
         current.unanswered += 1;
-        current.next = now + pause;
+        current.next_send = now + pause;
         let ask = Ask {
             id: current.id,
             attempt: current.attempt,
@@ -113,7 +113,7 @@
         vec![Action::Send(current.engine.clone(), ask)]
     }
 
-    /// Takes an owner's answer in.
+    /// Handles an owner's answer.
     pub fn answer(&mut self, now: Time, answer: &Answer) -> Vec<Action> {
         let Some(current) = &mut self.current else {
             return Vec::new();
@@ -125,14 +125,14 @@
             Verdict::Queued => {
                 current.queued = true;
                 current.unanswered = 0;
-                current.next = current.next.max(now + self.patience.renew_every);
+                current.next_send = current.next_send.max(now + self.patience.renew_every);
                 Vec::new()
             }
             Verdict::Granted(fence) => {
                 let sent = current.sent.iter().find(|(attempt, _)| *attempt == answer.attempt);
                 let start_by = sent.map(|(_, at)| *at + self.patience.start_within);
                 let Some(start_by) = start_by.filter(|by| now < *by) else {
-                    current.next = now;
+                    current.next_send = now;
                     return self.tick(now);
                 };
                 let (engine, id, fence) = (current.engine.clone(), current.id, *fence);
@@ -141,43 +141,43 @@
                 vec![Action::Start(Grant { engine, id, fence, start_by })]
             }
             Verdict::Refused { reason, retry_ms } => {
-                self.elsewhere(*reason, Duration::from_millis(u64::from(*retry_ms)))
+                self.try_another(*reason, Duration::from_millis(u64::from(*retry_ms)))
             }
         }
     }
 
-    /// The engine said that it did not run the request: another one is chosen.
-    /// One that only misses the adapter may be asked once more: its owner knows by then.
+    /// Selects another engine after the engine reported that it did not run the request. An engine
+    /// that only lacks the adapter may be tried once more, since its owner knows that by then.
     pub fn not_run(&mut self, engine: EngineName, missing: bool) -> Vec<Action> {
         self.started = false;
-        if !missing || self.missed.contains(&engine) {
+        if !missing || self.missing_once.contains(&engine) {
             self.spec.wanted.tried.push(engine);
         } else {
-            self.missed.push(engine);
+            self.missing_once.push(engine);
         }
         self.last_refusal = Some((Reason::NoBackend, Duration::from_secs(1)));
-        self.choose_or_stop()
+        self.choose_again_or_give_up()
     }
 
-    fn elsewhere(&mut self, reason: Reason, after: Duration) -> Vec<Action> {
+    fn try_another(&mut self, reason: Reason, after: Duration) -> Vec<Action> {
         let Some(current) = self.current.take() else {
             return Vec::new();
         };
         self.last_refusal = Some((reason, after));
         self.spec.wanted.tried.push(current.engine.clone());
         let mut actions = vec![Action::Release(current.engine, current.id)];
-        actions.extend(self.choose_or_stop());
+        actions.extend(self.choose_again_or_give_up());
         actions
     }
 
-    fn choose_or_stop(&mut self) -> Vec<Action> {
+    fn choose_again_or_give_up(&mut self) -> Vec<Action> {
         match self.spec.wanted.tried.len() < self.patience.engines {
             true => vec![Action::ChooseAgain],
             false => vec![self.no_engine()],
         }
     }
 
-    /// Ends the request: the deadline has passed, or the caller has gone.
+    /// Ends the request: the deadline has passed or the caller has disconnected.
     pub fn too_late(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(current) = self.current.take() {
@@ -188,7 +188,7 @@
         actions
     }
 
-    /// The reservation that is being asked for.
+    /// The reservation of the pending ask.
     pub fn reservation(&self) -> Option<ReservationId> {
         self.current.as_ref().map(|current| current.id)
     }
--- a/crates/portrack/src/reserve/spec.rs
+++ b/crates/portrack/src/reserve/spec.rs
@@ -1,30 +1,30 @@
-//! What an entry node wants a place for, and the place it gets.
+//! Requirements of a request, and the grant it receives.
 
 use crate::router::Wanted;
 use crate::types::{EngineName, Fence, ReservationId, Time};
 
-/// Names a request within its entry node.
+/// Identifies a request within its entry node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
 /// A request that needs an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Spec {
-    /// What routing needs to know.
+    /// Routing requirements.
     pub wanted: Wanted,
-    /// The latest useful start.
+    /// The latest time at which the request may start.
     pub deadline: Time,
 }
 
-/// A place on an engine.
+/// A granted reservation on an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
     /// The engine.
     pub engine: EngineName,
-    /// The reservation, also the request's id at the engine.
+    /// The reservation, which is also the request's id at the engine.
     pub id: ReservationId,
     /// The fence it was granted under.
     pub fence: Fence,
-    /// The request must be handed to the connection before this.
+    /// The request must be written to the connection before this time.
     pub start_by: Time,
 }
--- a/crates/portrack/src/types/adapter.rs
+++ b/crates/portrack/src/types/adapter.rs
@@ -1,25 +1,25 @@
-//! An adapter pinned to one version.
+//! An adapter at a specific version.
 
 use super::{AdapterName, NameError, VersionName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// `adapter@version`: immutable, and the name under which an engine holds it.
+/// `adapter@version`. Immutable; engines load adapters under this name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AdapterVersion {
     /// The adapter.
     pub adapter: AdapterName,
-    /// The version of it.
+    /// The version.
     pub version: VersionName,
 }
 
-/// Why a text is no `adapter@version`.
+/// Error from parsing `adapter@version`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ParseAdapterError {
     /// The `@` is missing.
     NoVersion,
-    /// One of the two names is bad.
+    /// One of the two names is invalid.
     Name(NameError),
 }
 
--- a/crates/portrack/src/types/class.rs
+++ b/crates/portrack/src/types/class.rs
@@ -1,24 +1,24 @@
-//! The urgency of a request.
+//! Urgency class of a request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Interactive goes before background; background keeps a small guaranteed share.
+/// Urgency class. Interactive requests have priority; background requests keep a small share.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Somebody is waiting.
+    /// A person waits for the response.
     #[default]
     Interactive,
-    /// May wait, but must arrive.
+    /// May be delayed, but must complete.
     Background,
 }
 
 impl Class {
-    /// The class as header and log text.
+    /// The class as written in headers and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Interactive => "interactive",
--- a/crates/portrack/src/types/clock.rs
+++ b/crates/portrack/src/types/clock.rs
@@ -1,4 +1,4 @@
-//! Where the time comes from.
+//! Time sources.
 
 use super::Time;
 use std::cell::Cell;
@@ -10,7 +10,7 @@
     fn now(&self) -> Time;
 }
 
-/// The operating system's boot-time clock.
+/// The operating system's boot-time clock (`CLOCK_BOOTTIME`).
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A clock that moves only when told to; clones share the hand.
+/// A clock that is advanced explicitly; clones share the same time.
 #[derive(Debug, Clone, Default)]
 pub struct ManualClock(Rc<Cell<u64>>);
 
--- a/crates/portrack/src/types/fence.rs
+++ b/crates/portrack/src/types/fence.rs
@@ -1,11 +1,11 @@
-//! The number that tells a newer owner from an older one.
+//! Fencing tokens, which distinguish a newer owner from an older one.
 
 use super::{Instance, Time};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A fencing token. An engine refuses orders below the highest it has accepted.
+/// A fencing token. An engine refuses orders with a lower fence than the highest it has accepted.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,26 +18,27 @@
     }
 }
 
-/// Makes fences that no other daemon makes, also after an engine has restarted and forgotten how
-/// high they were: wall-clock milliseconds, then the daemon's mark.
+/// Generates fences that are unique to this daemon even if an engine has restarted and lost its
+/// highest fence: wall-clock milliseconds followed by a hash of the daemon instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FenceMaker {
     /// Wall-clock milliseconds at [`Time`] zero.
     wall_at_zero: u64,
-    mark: u16,
+    instance_hash: u16,
 }
 
 impl FenceMaker {
-    /// A maker for a daemon that started at `now` with this incarnation, which is the wall clock's.
+    /// Creates a generator for a daemon that started at `now`. The incarnation must be the wall-clock
+    /// time of the start in milliseconds.
     pub fn new(me: &Instance, now: Time) -> Self {
         let wall_at_zero = me.incarnation.saturating_sub(now.0);
-        Self { wall_at_zero, mark: xxh3_64(me.to_string().as_bytes()) as u16 }
+        Self { wall_at_zero, instance_hash: xxh3_64(me.to_string().as_bytes()) as u16 }
     }
 
-    /// A fence above `highest`.
+    /// Returns a fence above `highest`.
     pub fn above(&self, highest: Fence, now: Time) -> Fence {
         let wall = self.wall_at_zero.saturating_add(now.0);
-        let stamp = (wall << u16::BITS) | u64::from(self.mark);
+        let stamp = (wall << u16::BITS) | u64::from(self.instance_hash);
         highest.next().max(Fence(stamp))
     }
 }
--- a/crates/portrack/src/types/instance.rs
+++ b/crates/portrack/src/types/instance.rs
@@ -1,15 +1,15 @@
-//! One run of a node's daemon.
+//! A run of a node's daemon process.
 
 use super::NodeName;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A node and its incarnation; a restarted daemon is another instance.
+/// A node and its incarnation. A restarted daemon is a new instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
     /// The node.
     pub node: NodeName,
-    /// Grows with every start of the node's daemon.
+    /// Increases with every start of the node's daemon.
     pub incarnation: u64,
 }
 
--- a/crates/portrack/src/types/mod.rs
+++ b/crates/portrack/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Plain value types that every other module shares.
+//! Value types shared by all modules.
 
 mod adapter;
 mod class;
--- a/crates/portrack/src/types/name.rs
+++ b/crates/portrack/src/types/name.rs
@@ -1,4 +1,4 @@
-//! Checked names of nodes, data halls, engines and adapters.
+//! Validated names of nodes, data halls, engines, adapters and the like.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,12 +8,12 @@
 /// The longest name accepted, in bytes.
 pub const MAX_NAME_LEN: usize = 96;
 
-/// Why a text is no name.
+/// Error from parsing a name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty or longer than `MAX_NAME_LEN`.
     Length(usize),
-    /// The text holds a character other than ASCII letters, digits, `-`, `_` and `.`.
+    /// The text contains a character other than ASCII letters, digits, `-`, `_` and `.`.
     Character(char),
 }
 
@@ -95,7 +95,7 @@
 }
 
 name_type!(
-    /// A node of the system: one entry node, one daemon.
+    /// A node of the system. Each runs one daemon and is an entry node.
     NodeName
 );
 name_type!(
@@ -103,7 +103,7 @@
     HallName
 );
 name_type!(
-    /// A region: data halls that are about a millisecond apart.
+    /// A region: data halls with a network latency of about a millisecond between them.
     RegionName
 );
 name_type!(
--- a/crates/portrack/src/types/refusal.rs
+++ b/crates/portrack/src/types/refusal.rs
@@ -1,4 +1,4 @@
-//! How a request ends when it does not get its answer.
+//! Refusals and failures of requests.
 
 use super::Run;
 use serde::{Deserialize, Serialize};
@@ -12,15 +12,15 @@
     BadRequest,
     /// The body or a header is too large.
     TooLarge,
-    /// No adapter of that name and version is in force.
+    /// No adapter with that name and version exists.
     UnknownAdapter,
-    /// No rule in force lets the adapter serve this request here.
+    /// No rule allows the adapter to serve this request here.
     NotAllowed,
-    /// No path or service of that name.
+    /// No such path or service exists.
     NotFound,
     /// This node has no settings yet.
     NoSettings,
-    /// No backend server can take it now.
+    /// No backend server can take the request now.
     NoBackend,
     /// A queue is full.
     QueueFull,
@@ -32,16 +32,16 @@
     Stopping,
     /// The same idempotency key is in use or already answered.
     DuplicateKey,
-    /// Too little is remembered to tell whether the key was used.
+    /// The key memory is incomplete, so it is unknown whether the idempotency key was used.
     KeyMemory,
-    /// The backend server refused it.
+    /// The backend server refused the request.
     BackendRefused,
-    /// The backend server was lost before the answer was whole.
+    /// The connection to the backend server was lost before the response was complete.
     BackendLost,
 }
 
 impl Reason {
-    /// The reason as it stands in problem details, logs and metrics.
+    /// The reason as written in problem details, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad-request",
@@ -63,37 +63,37 @@
     }
 }
 
-/// A final answer that is no success.
+/// Final result of a request that did not succeed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// Whether it ran.
+    /// Whether the request may have run.
     pub run: Run,
-    /// When to ask again, where that helps.
+    /// Suggested delay before a retry, if a retry can succeed.
     pub retry_after: Option<Duration>,
-    /// One sentence for a person.
+    /// Explanation for the caller, in one sentence.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal of a request that certainly did not run.
+    /// Creates a refusal of a request that certainly did not run.
     pub fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self { reason, run: Run::No, retry_after: None, detail: detail.into() }
     }
 
-    /// A failure after which the request may have run.
+    /// Creates a failure of a request that may have run.
     pub fn unknown(reason: Reason, detail: impl Into<String>) -> Self {
         Self { reason, run: Run::Unknown, retry_after: None, detail: detail.into() }
     }
 
-    /// The same refusal of a request that may have run in an earlier try.
+    /// Marks the request as possibly run in an earlier attempt.
     pub fn after_a_run(mut self) -> Self {
         self.run = Run::Unknown;
         self
     }
 
-    /// The same refusal with a time to come back.
+    /// Sets the suggested delay before a retry.
     pub fn after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
--- a/crates/portrack/src/types/reservation.rs
+++ b/crates/portrack/src/types/reservation.rs
@@ -1,10 +1,10 @@
-//! The identity of a request at an owner.
+//! Identifier of a reservation.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Random, 128 bits, written as 32 hexadecimal digits. Also the request id at the engine.
+/// Random 128-bit identifier, written as 32 hexadecimal digits. Also the request id at the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReservationId(pub u128);
 
--- a/crates/portrack/src/types/run.rs
+++ b/crates/portrack/src/types/run.rs
@@ -1,19 +1,19 @@
-//! What is known about whether a failed request ran.
+//! Whether a failed request may have run.
 
 use serde::{Deserialize, Serialize};
 
-/// Written into every refusal.
+/// Whether a failed request may have run; part of every refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Run {
     /// The request certainly did not run.
     No,
-    /// The request may have run, in part or whole.
+    /// The request may have run, partly or completely.
     Unknown,
 }
 
 impl Run {
-    /// The value as header and log text.
+    /// The value as written in headers and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::No => "no",
--- a/crates/portrack/src/types/time.rs
+++ b/crates/portrack/src/types/time.rs
@@ -1,17 +1,17 @@
-//! A point on the daemon's monotonic clock.
+//! A point in time on the daemon's monotonic clock.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Milliseconds on a clock that counts suspended time. Only compared within one node.
+/// Milliseconds on a monotonic clock that includes suspended time. Comparable only within one node.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time from `earlier` to `self`, zero if `earlier` is later.
+    /// The duration from `earlier` to `self`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
