--- a/crates/portrack/tests/fuzz.rs
+++ b/crates/portrack/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of the decisions against a simple oracle: what the model engines did.
+//! Stateful fuzzing of the node's decisions. The model engines record violations of invariants.
 //!
-//! `PORTRACK_FUZZ_CASES` sets the number of cases; the seed is fixed unless
-//! `PORTRACK_FUZZ_SEED` names another.
+//! `PORTRACK_FUZZ_CASES` sets the number of cases. The seed is fixed unless
+//! `PORTRACK_FUZZ_SEED` sets another.
 
 #[path = "fuzz/engine.rs"]
 mod engine;
@@ -15,18 +15,18 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use world::{ENGINES, NODES, World};
 
-/// Cases where the environment names no number.
+/// Default number of cases.
 const CASES: u32 = 48;
-/// The seed where the environment names none.
+/// Default seed.
 const SEED: u64 = 20_261_202;
-/// Longer than any request waits and runs, and any takeover takes.
+/// Longer than any request takes to wait and run, and longer than any takeover.
 const SETTLE_MS: u64 = 60_000;
 
-/// One thing that happens.
+/// A step of a test case.
 #[derive(Debug, Clone)]
 enum Step {
     Request { node: usize, adapter: usize, wait: u64, background: bool },
-    Keyed { node: usize, key: u128 },
+    KeyedRequest { node: usize, key: u128 },
     Cancel { back: u64 },
     Advance(u64),
     Network { loss: u32, repeat: u32, delay: u64 },
@@ -43,7 +43,7 @@
     Heal,
 }
 
-/// The oracle needs no state of its own: the model engines record what must hold.
+/// The reference model has no state besides the seed: violations are recorded by the world.
 #[derive(Debug, Clone)]
 struct Reference {
     seed: u64,
@@ -64,7 +64,7 @@
             30 => (node.clone(), 0..9_usize, 500..20_000_u64, any::<bool>()).prop_map(
                 |(node, adapter, wait, background)| Step::Request { node, adapter, wait, background }
             ),
-            8 => (node.clone(), 0..4_u128).prop_map(|(node, key)| Step::Keyed { node, key }),
+            8 => (node.clone(), 0..4_u128).prop_map(|(node, key)| Step::KeyedRequest { node, key }),
             2 => (0..5_u64).prop_map(|back| Step::Cancel { back }),
             25 => (10..2_500_u64).prop_map(Step::Advance),
             3 => (0..30_u32, 0..20_u32, 1..400_u64).prop_map(|(loss, repeat, delay)| {
@@ -106,7 +106,7 @@
             Step::Request { node, adapter, wait, background } => {
                 world.request(node, adapter, wait, background);
             }
-            Step::Keyed { node, key } => world.keyed(node, key),
+            Step::KeyedRequest { node, key } => world.request_with_key(node, key),
             Step::Cancel { back } => world.cancel(back),
             Step::Advance(millis) => world.advance(millis),
             Step::Network { loss, repeat, delay } => world.network(loss, repeat, delay),
@@ -126,14 +126,14 @@
     }
 
     fn check_invariants(world: &World, _: &Reference) {
-        assert!(world.broken.is_empty(), "broken: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "violations: {:?}", world.violations);
     }
 
     fn teardown(mut world: World, _: Reference) {
         world.heal();
         world.advance(SETTLE_MS);
-        assert!(world.broken.is_empty(), "broken: {:?}", world.broken);
-        assert_eq!(world.unanswered(), 0, "requests were left without an answer");
+        assert!(world.violations.is_empty(), "violations: {:?}", world.violations);
+        assert_eq!(world.unanswered(), 0, "some requests were left unanswered");
     }
 }
 
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_promises_hold_whatever_happens() {
+fn invariants_hold_under_random_faults() {
     let cases = u32::try_from(number("PORTRACK_FUZZ_CASES", u64::from(CASES))).unwrap();
     let config = Config {
         cases,
@@ -162,16 +162,17 @@
     }
 }
 
-/// The harness itself: without faults, requests are answered and adapters come and go.
+/// Checks the harness itself: without faults all requests are answered, and adapters are loaded and
+/// unloaded.
 #[test]
-fn a_quiet_world_answers_everything() {
+fn all_requests_are_answered_without_faults() {
     let mut world = World::new(7);
     for round in 0..40 {
         world.request(round % NODES, round, 20_000, round % 3 == 0);
         world.advance(1_500);
     }
     world.advance(SETTLE_MS);
-    assert!(world.broken.is_empty(), "broken: {:?}", world.broken);
+    assert!(world.violations.is_empty(), "violations: {:?}", world.violations);
     assert_eq!(world.answered(), 40);
     assert!(world.unloads > 5, "only {} unloads", world.unloads);
 }
--- a/crates/portrack/tests/fuzz/engine.rs
+++ b/crates/portrack/tests/fuzz/engine.rs
@@ -1,4 +1,4 @@
-//! The model of an engine: slots, running requests, a fence, reports that lag.
+//! Model of an engine with slots, running requests, a fence and delayed reports.
 
 use portrack::owner::{Order, OrderKind, OrderResult, Report, Running};
 use portrack::reserve::Token;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How far reports lag, as the owners' settings say.
+/// Maximum lag of reports, equal to the owners' `report_lag`.
 pub const LAG: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Default)]
@@ -16,7 +16,7 @@
     running: Vec<Running>,
 }
 
-/// One engine.
+/// A model engine.
 #[derive(Debug, Clone)]
 pub struct ModelEngine {
     pub checks_fence: bool,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Remembers what reports may show.
-    pub fn remember(&mut self, now: Time) {
+    /// Records the current state for delayed reports.
+    pub fn record_snapshot(&mut self, now: Time) {
         let running = self
             .running
             .iter()
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A report that shows slots and requests as of `lag` ago.
+    /// Returns a report that shows slots and requests as they were `lag` ago.
     pub fn report(&self, asked_at: Time, now: Time, lag: Duration) -> Report {
         let shown = now - lag;
         let past = self.history.iter().rev().find(|(at, _)| *at <= shown);
@@ -92,13 +92,13 @@
         Ok(())
     }
 
-    /// Whether an order is refused for its fence.
+    /// Returns the refusal if the order's fence is too old.
     pub fn fenced(&self, order: &Order) -> Option<OrderResult> {
         let older = self.checks_fence && order.fence.0 < self.fence;
         older.then_some(OrderResult::Fenced(Fence(self.fence)))
     }
 
-    /// Begins a load; its end comes later.
+    /// Starts a load, which is finished by `end_load`.
     pub fn begin_load(&mut self, adapter: &AdapterVersion) -> bool {
         let known = self.loaded.contains(adapter) || self.loading.contains(adapter);
         if known || self.loaded.len() + self.loading.len() >= self.slots || self.fail_loads > 0 {
@@ -109,7 +109,7 @@
         true
     }
 
-    /// Ends a load that began in `epoch`.
+    /// Finishes a load that started in `epoch`.
     pub fn end_load(&mut self, adapter: &AdapterVersion, epoch: u64) -> bool {
         if epoch != self.epoch || !self.loading.remove(adapter) {
             return false;
@@ -118,7 +118,7 @@
         true
     }
 
-    /// Unloads as told, and says how many requests ran on the adapter.
+    /// Unloads an adapter and returns how many requests were running on it.
     pub fn unload(&mut self, adapter: &AdapterVersion) -> (OrderResult, usize) {
         let in_use = self.running.values().filter(|(a, _)| a == adapter).count();
         match self.loaded.remove(adapter) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Restarts empty.
+    /// Restarts the engine with empty slots.
     pub fn restart(&mut self, now: Time) {
         self.epoch += 1;
         self.fence = 0;
@@ -138,7 +138,7 @@
     }
 }
 
-/// True for the order that needs time at the engine.
+/// True for a load order, which takes time at the engine.
 pub fn is_load(order: &Order) -> bool {
     order.kind == OrderKind::Load
 }
--- a/crates/portrack/tests/fuzz/faults.rs
+++ b/crates/portrack/tests/fuzz/faults.rs
@@ -1,89 +1,89 @@
-//! Failures that fuzzing found, each brought about on purpose.
+//! Regression tests that reproduce failures found by fuzzing.
 
 use crate::world::{self, NODES, World};
 
-/// Longer than keys are remembered and used.
-const PAST_WINDOW_MS: u64 = 14_000;
-/// Silence after which a member counts as dead.
+/// Longer than the key window plus the time in which a key may be used.
+const KEY_EXPIRY_MS: u64 = 14_000;
+/// Longer than it takes to declare a silent member dead.
 const DEAD_MS: u64 = 8_000;
-/// Longer than any request waits and runs, and any takeover takes.
+/// Longer than any request takes to wait and run, and longer than any takeover.
 const SETTLE_MS: u64 = 60_000;
-/// Keys enough that every member is the first keeper of some.
+/// Enough keys for every member to be the first keeper of some.
 const KEYS: u128 = 12;
 
-fn assert_unbroken(world: &World) {
-    assert!(world.broken.is_empty(), "broken: {:?}", world.broken);
+fn assert_no_violations(world: &World) {
+    assert!(world.violations.is_empty(), "violations: {:?}", world.violations);
 }
 
-/// Lets memories of keys become old enough to be trusted.
+/// A world in which the keepers have run long enough for their memory to be trusted.
 fn trusted_world(seed: u64) -> World {
     let mut world = World::new(seed);
-    world.advance(PAST_WINDOW_MS);
+    world.advance(KEY_EXPIRY_MS);
     world
 }
 
 #[test]
-fn keys_are_given_at_all() {
+fn every_key_is_granted_without_faults() {
     let mut world = trusted_world(1);
     for key in 0..KEYS {
-        world.keyed(0, key);
+        world.request_with_key(0, key);
         world.advance(1_000);
     }
-    assert_eq!(world.keys_given(), KEYS as usize);
+    assert_eq!(world.granted_keys(), KEYS as usize);
 }
 
 #[test]
-fn a_key_verdict_that_arrives_during_a_pause_is_not_used_after_it() {
+fn a_key_verdict_received_during_a_pause_is_not_used_afterwards() {
     let mut world = trusted_world(2);
     for key in 0..KEYS {
-        world.keyed(2, key);
+        world.request_with_key(2, key);
     }
     world.pause(2);
-    world.advance(PAST_WINDOW_MS);
+    world.advance(KEY_EXPIRY_MS);
     for key in 0..KEYS {
-        world.keyed(0, key);
+        world.request_with_key(0, key);
     }
     world.advance(2_000);
     world.resume(2);
     world.advance(2_000);
-    assert_unbroken(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn two_parts_of_a_hall_do_not_settle_the_same_key() {
+fn two_sides_of_a_partitioned_hall_do_not_grant_the_same_key() {
     let mut world = trusted_world(3);
     world.cut(0, 2);
     world.cut(1, 2);
     world.advance(DEAD_MS);
     for key in 0..KEYS {
-        world.keyed(0, key);
-        world.keyed(2, key);
+        world.request_with_key(0, key);
+        world.request_with_key(2, key);
         world.advance(500);
     }
-    assert_unbroken(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_keeper_that_was_paused_does_not_trust_its_memory() {
+fn a_paused_keeper_does_not_trust_its_memory() {
     let mut world = trusted_world(4);
     world.pause(0);
     world.advance(DEAD_MS);
     for key in 0..KEYS {
-        world.keyed(1, key);
+        world.request_with_key(1, key);
     }
     world.advance(1_000);
     world.resume(0);
     world.cut(0, 1);
     world.cut(0, 2);
     for key in 0..KEYS {
-        world.keyed(0, key);
+        world.request_with_key(0, key);
     }
     world.advance(2_000);
-    assert_unbroken(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn an_engine_without_fences_survives_a_cut_between_its_owners() {
+fn a_partition_between_owners_is_safe_for_an_engine_without_fences() {
     for seed in 0..20 {
         let mut world = World::new(seed);
         world.cut(0, 1);
@@ -94,15 +94,15 @@
             world.advance(400);
         }
         world.advance(SETTLE_MS);
-        assert_unbroken(&world);
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn a_successor_by_lease_unloads_nothing_while_the_old_holder_may_still_grant() {
+fn a_new_lease_holder_unloads_nothing_while_the_old_one_may_still_grant() {
     for seed in 0..30 {
         let mut world = World::new(seed);
-        let holder = world.lease_holder(1).expect("somebody holds the engine's lease");
+        let holder = world.lease_holder(1).expect("a daemon holds the engine's lease");
         for wanted in 0..9 {
             world.request(holder, wanted, 20_000, false);
             world.advance(700);
@@ -115,15 +115,15 @@
             world.request(round % 3, round / 2, 5_000, false);
             world.advance(450);
         }
-        assert_ne!(world.lease_holder(1), Some(holder), "nobody took the engine over");
+        assert_ne!(world.lease_holder(1), Some(holder), "no other daemon took over the engine");
         world.heal();
         world.advance(SETTLE_MS);
-        assert_unbroken(&world);
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn a_takeover_unloads_nothing_that_the_predecessor_granted() {
+fn a_takeover_unloads_nothing_granted_by_the_previous_owner() {
     for seed in 0..20 {
         let mut world = World::new(seed);
         for round in 0..40 {
@@ -137,31 +137,31 @@
         }
         world.heal();
         world.advance(SETTLE_MS);
-        assert_unbroken(&world);
+        assert_no_violations(&world);
         assert_eq!(world.unanswered(), 0);
     }
 }
 
 #[test]
-fn loads_do_not_wait_for_a_silent_planner_of_another_hall() {
+fn loads_do_not_wait_for_an_unresponsive_planner_in_another_hall() {
     let planner = world::planner();
-    let asker = (0..NODES).find(|at| !world::same_hall(*at, planner)).unwrap();
+    let requester = (0..NODES).find(|at| !world::same_hall(*at, planner)).unwrap();
     let mut world = World::new(6);
     world.pause(planner);
     world.advance(100);
     for wanted in 0..9 {
-        world.request(asker, wanted, 9_000, false);
+        world.request(requester, wanted, 9_000, false);
         world.advance(1_000);
     }
     let before = world.answered();
     world.advance(9_000);
     let answered = world.answered();
-    assert!(answered >= 6, "{before} and then {answered} of 9 were answered");
-    assert_unbroken(&world);
+    assert!(answered >= 6, "{answered} of 9 requests were answered, {before} of them earlier");
+    assert_no_violations(&world);
 }
 
 #[test]
-fn an_engine_without_fences_serves_on_while_the_key_value_service_is_away() {
+fn an_engine_without_fences_keeps_serving_while_the_key_value_service_is_down() {
     let mut world = World::new(5);
     for round in 0..6 {
         world.request(0, round, 20_000, false);
@@ -170,7 +170,7 @@
     world.set_kv_down(true);
     world.advance(20_000);
     let held: Vec<_> = world.engines[1].loaded.iter().cloned().collect();
-    assert!(!held.is_empty(), "the engine holds nothing to serve");
+    assert!(!held.is_empty(), "the engine has no loaded adapter");
     let before = world.answered();
     let wanted = (0..9).find(|at| world::adapter(*at) == held[0]).unwrap();
     for _ in 0..10 {
@@ -179,6 +179,6 @@
     }
     world.advance(SETTLE_MS);
     assert_eq!(world.answered(), before + 10);
-    assert!(world.engines[1].loaded.contains(&held[0]), "something was unloaded");
-    assert_unbroken(&world);
+    assert!(world.engines[1].loaded.contains(&held[0]), "the adapter was unloaded");
+    assert_no_violations(&world);
 }
--- a/crates/portrack/tests/fuzz/world.rs
+++ b/crates/portrack/tests/fuzz/world.rs
@@ -1,4 +1,5 @@
-//! Several daemons' decisions, model engines, and a network that delays, loses, repeats and cuts.
+//! Simulated nodes and model engines on a network that delays, loses and repeats messages and can be
+//! partitioned.
 
 use crate::engine::{LAG, ModelEngine, is_load};
 use portrack::Node;
@@ -14,22 +15,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Between ticks of a daemon.
+/// Interval between ticks of a daemon, in milliseconds.
 const TICK: u64 = 50;
-/// How long a lease lives in the key-value service.
+/// Time to live of a lease in the key-value service.
 const LEASE_TTL: Duration = Duration::from_secs(30);
-/// Orders stop when the lease was renewed this long ago.
-const LEASE_ORDERS: Duration = Duration::from_secs(15);
-/// Between renewals.
-const LEASE_RENEW: Duration = Duration::from_secs(10);
-/// A leaving engine may get new work for this long.
+/// Maximum age of a lease renewal for sending orders.
+const LEASE_ORDER_VALIDITY: Duration = Duration::from_secs(15);
+/// Interval between lease renewals.
+const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(10);
+/// Time for which a leaving engine may still get new requests.
 const LEAVE_WITHIN: Duration = Duration::from_secs(5);
-/// How long keys are remembered.
+/// How long idempotency keys are kept.
 const KEY_WINDOW: Duration = Duration::from_secs(8);
 
-/// Something on its way.
+/// A message or event that has not been delivered yet.
 #[derive(Debug, Clone)]
-enum Flight {
+enum InTransit {
     Message { from: Instance, to: usize, body: Message },
     Poll { node: usize, incarnation: u64, engine: usize, asked_at: Time },
     Raise { node: usize, incarnation: u64, engine: usize, fence: Fence },
@@ -45,57 +46,57 @@
     node: Node,
     incarnation: u64,
     paused: bool,
-    held: Vec<Input>,
-    renewed: BTreeMap<usize, Time>,
+    paused_inputs: Vec<Input>,
+    renewed_at: BTreeMap<usize, Time>,
     fences: BTreeMap<usize, Fence>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct LeaseHeld {
+struct Lease {
     node: usize,
     incarnation: u64,
     until: Time,
 }
 
-/// What became of a request.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestState {
     Open,
     Done,
     Refused(Run),
     /// Its entry node restarted.
     Orphaned,
-    /// Its caller did not wait.
+    /// Its caller cancelled it.
     CallerGone,
 }
 
-struct Sent {
+struct SentRequest {
     adapter: AdapterVersion,
     runs: usize,
-    fate: Fate,
+    state: RequestState,
 }
 
-/// Everything, on one clock.
+/// The simulated system, on one clock.
 pub struct World {
     now: Time,
     rng: SmallRng,
     hosts: Vec<Host>,
     pub engines: Vec<ModelEngine>,
     leaving_since: BTreeMap<usize, Time>,
-    flights: Vec<(Time, Flight)>,
+    in_transit: Vec<(Time, InTransit)>,
     cuts: BTreeSet<(usize, usize)>,
     loss_percent: u32,
     repeat_percent: u32,
     delay: u64,
     kv_down: bool,
     kv_cut: BTreeSet<usize>,
-    leases: BTreeMap<usize, LeaseHeld>,
+    leases: BTreeMap<usize, Lease>,
     next_fence: u64,
     next_token: u64,
-    requests: BTreeMap<Token, Sent>,
+    requests: BTreeMap<Token, SentRequest>,
     keys: BTreeMap<Token, u128>,
     key_owners: BTreeMap<u128, Vec<(Token, Time)>>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub unloads: usize,
     pub runs: usize,
 }
@@ -110,14 +111,14 @@
     }
 }
 
-/// The daemon that plans loads while all are there.
+/// The daemon that plans loads while all daemons are available.
 pub fn planner() -> usize {
     let names: Vec<NodeName> = (0..NODES).map(|at| peer(at).node).collect();
     let planner = portrack::membership::highest("load-planner", &names);
     names.iter().position(|name| Some(name) == planner).unwrap()
 }
 
-/// True if two daemons stand in the same hall.
+/// True if two daemons are in the same hall.
 pub fn same_hall(a: usize, b: usize) -> bool {
     peer(a).hall == peer(b).hall
 }
@@ -140,7 +141,7 @@
     format!("e{at}").parse().unwrap()
 }
 
-/// One of a few adapters, more than all slots hold.
+/// One of nine adapters, which is more than all slots can hold.
 pub fn adapter(at: usize) -> AdapterVersion {
     format!("ad{}@v1", at % 9).parse().unwrap()
 }
@@ -153,12 +154,12 @@
     tunables
 }
 
-/// Wall-clock milliseconds at the world's time zero.
-const WALL: u64 = 1_795_000_000_000;
+/// Wall-clock time at simulated time zero, in milliseconds.
+const WALL_CLOCK_AT_ZERO: u64 = 1_795_000_000_000;
 
-/// Daemons and engines in each world.
+/// Number of daemons.
 pub const NODES: usize = 4;
-/// Engine 1 checks no fence.
+/// Number of engines; engine 1 checks no fence.
 pub const ENGINES: usize = 3;
 
 impl World {
@@ -170,7 +171,7 @@
             hosts: Vec::new(),
             engines: (0..ENGINES).map(|at| ModelEngine::new(at != 1)).collect(),
             leaving_since: BTreeMap::new(),
-            flights: Vec::new(),
+            in_transit: Vec::new(),
             cuts: BTreeSet::new(),
             loss_percent: 0,
             repeat_percent: 0,
@@ -183,7 +184,7 @@
             requests: BTreeMap::new(),
             keys: BTreeMap::new(),
             key_owners: BTreeMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             unloads: 0,
             runs: 0,
         };
@@ -192,16 +193,16 @@
             world.hosts.push(host);
         }
         for at in 0..NODES {
-            world.tell_servers(at);
+            world.send_server_list(at);
         }
         world.advance(3_000);
         world
     }
 
-    /// A fresh daemon, of a later incarnation than `after`.
+    /// Creates a daemon with a later incarnation than `after`.
     fn new_host(&mut self, at: usize, after: u64) -> Host {
         let seed = self.rng.random();
-        let incarnation = (WALL + self.now.0).max(after + 1);
+        let incarnation = (WALL_CLOCK_AT_ZERO + self.now.0).max(after + 1);
         let mut node = Node::new(peer(at), incarnation, tunables(), seed, self.now);
         node.on(self.now, Input::Peers((0..NODES).map(peer).collect()));
         Host {
@@ -209,31 +210,31 @@
             node,
             incarnation,
             paused: false,
-            held: Vec::new(),
-            renewed: BTreeMap::new(),
+            paused_inputs: Vec::new(),
+            renewed_at: BTreeMap::new(),
             fences: BTreeMap::new(),
         }
     }
 
-    fn tell_servers(&mut self, node: usize) {
+    fn send_server_list(&mut self, node: usize) {
         let list = (0..ENGINES).map(|at| server(at, self.leaving_since.contains_key(&at)));
         let list = list.collect();
         self.input(node, Input::Servers(list));
     }
 
-    /// Feeds a daemon, or keeps the input until it wakes.
+    /// Passes an input to a daemon, or keeps it until a paused daemon resumes.
     fn input(&mut self, at: usize, input: Input) {
         if self.hosts[at].paused {
-            self.hosts[at].held.push(input);
+            self.hosts[at].paused_inputs.push(input);
             return;
         }
         let effects = self.hosts[at].node.on(self.now, input);
         for effect in effects {
-            self.carry_out(at, effect);
+            self.apply_effect(at, effect);
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: Effect) {
+    fn apply_effect(&mut self, at: usize, effect: Effect) {
         let incarnation = self.hosts[at].incarnation;
         match effect {
             Effect::Send { to, body } => self.send(at, &to, body),
@@ -246,8 +247,8 @@
                     return self.input(at, Input::NotRun { token, engine, id, missing });
                 }
                 let delay = self.rng.random_range(0..400);
-                let open = Flight::Open { node: at, incarnation, token, grant, adapter };
-                self.fly(delay, open);
+                let open = InTransit::Open { node: at, incarnation, token, grant, adapter };
+                self.schedule(delay, open);
             }
             Effect::GiveUp { token, refusal } => self.refused(token, refusal.run),
             Effect::KeySettled { token, verdict, use_by } => {
@@ -260,9 +261,9 @@
     fn refused(&mut self, token: Token, run: Run) {
         let Some(sent) = self.requests.get_mut(&token) else { return };
         if run == Run::No && sent.runs > 0 {
-            self.broken.push(format!("{token:?} was refused as not run and had run"));
+            self.violations.push(format!("{token:?} was refused as not run but had run"));
         }
-        sent.fate = Fate::Refused(run);
+        sent.state = RequestState::Refused(run);
     }
 
     fn key_settled(&mut self, at: usize, token: Token, verdict: KeyVerdict) {
@@ -274,14 +275,14 @@
         let now = self.now;
         let twice = owners.iter().any(|(_, since)| now.since(*since) < KEY_WINDOW);
         if twice {
-            self.broken.push(format!("key {key} was given twice within its window"));
+            self.violations.push(format!("key {key} was granted twice within its window"));
         }
         owners.push((token, now));
         self.input(at, Input::KeepKey { token });
     }
 
-    fn fly(&mut self, delay: u64, flight: Flight) {
-        self.flights.push((self.now + Duration::from_millis(delay), flight));
+    fn schedule(&mut self, delay: u64, item: InTransit) {
+        self.in_transit.push((self.now + Duration::from_millis(delay), item));
     }
 
     fn send(&mut self, at: usize, to: &NodeName, body: Message) {
@@ -297,7 +298,7 @@
         };
         for _ in 0..copies {
             let delay = self.rng.random_range(1..=self.delay.max(1));
-            self.fly(delay, Flight::Message { from: from.clone(), to, body: body.clone() });
+            self.schedule(delay, InTransit::Message { from: from.clone(), to, body: body.clone() });
         }
     }
 
@@ -305,64 +306,66 @@
         let incarnation = self.hosts[node].incarnation;
         let engine: usize = engine.as_str()[1..].parse().unwrap();
         let asked_at = self.now;
-        let flight = match task {
-            EngineTask::LetGo => return self.let_go(node, engine),
-            EngineTask::Poll => Flight::Poll { node, incarnation, engine, asked_at },
-            EngineTask::RaiseFence(fence) => Flight::Raise { node, incarnation, engine, fence },
+        let item = match task {
+            EngineTask::LetGo => return self.release_lease(node, engine),
+            EngineTask::Poll => InTransit::Poll { node, incarnation, engine, asked_at },
+            EngineTask::RaiseFence(fence) => InTransit::Raise { node, incarnation, engine, fence },
             EngineTask::Order(order) if self.may_order(node, engine) => {
-                Flight::Order { node, incarnation, engine, order }
+                InTransit::Order { node, incarnation, engine, order }
             }
             EngineTask::Order(order) => {
                 let event = Event::OrderDone { id: order.id, result: OrderResult::Failed };
-                Flight::ToNode { node, incarnation, engine, event }
+                InTransit::ToNode { node, incarnation, engine, event }
             }
         };
         let delay = self.rng.random_range(1..=self.delay.max(1));
-        self.fly(delay, flight);
+        self.schedule(delay, item);
     }
 
-    /// The key is removed at once if the service can be reached, else at the next renewal.
-    fn let_go(&mut self, node: usize, engine: usize) {
+    /// Releases a lease. Its key is removed at once if the key-value service can be reached;
+    /// otherwise the lease is no longer renewed and expires.
+    fn release_lease(&mut self, node: usize, engine: usize) {
         let held = self.hosts[node].fences.remove(&engine).is_some();
-        self.hosts[node].renewed.remove(&engine);
+        self.hosts[node].renewed_at.remove(&engine);
         if held && self.sees_kv(node) {
             self.leases.remove(&engine);
         }
     }
 
-    /// The look that the daemon takes right before an order to an engine without fences.
+    /// The check that the daemon makes right before an order to an engine without fences.
     fn may_order(&self, node: usize, engine: usize) -> bool {
-        let renewed = self.hosts[node].renewed.get(&engine);
-        let recent = renewed.is_some_and(|at| self.now.since(*at) < LEASE_ORDERS);
+        let renewed_at = self.hosts[node].renewed_at.get(&engine);
+        let recent = renewed_at.is_some_and(|at| self.now.since(*at) < LEASE_ORDER_VALIDITY);
         self.engines[engine].checks_fence || recent
     }
 
-    /// Moves the clock on.
+    /// Advances the clock.
     pub fn advance(&mut self, millis: u64) {
         let end = self.now.0 + millis;
         while self.now.0 < end {
             let next_tick = (self.now.0 / TICK + 1) * TICK;
-            let next_flight = self.flights.iter().map(|(at, _)| at.0).min().unwrap_or(u64::MAX);
-            self.now = Time(next_tick.min(next_flight).clamp(self.now.0, end));
-            self.land();
+            let next_delivery =
+                self.in_transit.iter().map(|(at, _)| at.0).min().unwrap_or(u64::MAX);
+            self.now = Time(next_tick.min(next_delivery).clamp(self.now.0, end));
+            self.deliver_due();
             if self.now.0 == next_tick {
                 self.tick();
             }
         }
     }
 
-    fn land(&mut self) {
+    fn deliver_due(&mut self) {
         loop {
-            let due = self.flights.iter().position(|(at, _)| *at <= self.now);
+            let due = self.in_transit.iter().position(|(at, _)| *at <= self.now);
             let Some(due) = due else { return };
-            let (_, flight) = self.flights.remove(due);
-            self.arrive(flight);
+            let (_, item) = self.in_transit.remove(due);
+            self.deliver(item);
         }
     }
 
     fn tick(&mut self) {
         for engine in &mut self.engines {
-            engine.remember(self.now);
+            engine.record_snapshot(self.now);
         }
         self.leases.retain(|_, lease| self.now < lease.until);
         for at in 0..self.hosts.len() {
@@ -378,20 +381,21 @@
     }
 
     fn renew(&mut self, at: usize) {
-        if !self.sees_kv(at) || !self.now.0.is_multiple_of(LEASE_RENEW.as_millis() as u64) {
+        if !self.sees_kv(at) || !self.now.0.is_multiple_of(LEASE_RENEW_INTERVAL.as_millis() as u64)
+        {
             return;
         }
         let incarnation = self.hosts[at].incarnation;
-        let ours = |l: &LeaseHeld| l.node == at && l.incarnation == incarnation;
+        let ours = |l: &Lease| l.node == at && l.incarnation == incarnation;
         for engine in self.hosts[at].fences.keys().copied().collect::<Vec<_>>() {
             match self.leases.get_mut(&engine).filter(|l| ours(l)) {
                 Some(lease) => {
                     lease.until = self.now + LEASE_TTL;
-                    self.hosts[at].renewed.insert(engine, self.now);
+                    self.hosts[at].renewed_at.insert(engine, self.now);
                 }
                 None => {
                     self.hosts[at].fences.remove(&engine);
-                    self.hosts[at].renewed.remove(&engine);
+                    self.hosts[at].renewed_at.remove(&engine);
                 }
             }
         }
@@ -401,49 +405,49 @@
         self.hosts[node].incarnation == incarnation
     }
 
-    fn arrive(&mut self, flight: Flight) {
-        match flight {
-            Flight::Message { from, to, body } => self.input(to, Input::Message { from, body }),
-            Flight::Poll { node, incarnation, engine, asked_at } => {
+    fn deliver(&mut self, item: InTransit) {
+        match item {
+            InTransit::Message { from, to, body } => self.input(to, Input::Message { from, body }),
+            InTransit::Poll { node, incarnation, engine, asked_at } => {
                 let lag = Duration::from_millis(self.rng.random_range(0..=LAG.as_millis() as u64));
                 let mut report = self.engines[engine].report(asked_at, self.now, lag);
                 if !self.engines[engine].checks_fence {
                     let host = &self.hosts[node];
                     report.fence = host.fences.get(&engine).copied().unwrap_or(Fence(0));
-                    report.lease_at = host.renewed.get(&engine).copied();
+                    report.lease_at = host.renewed_at.get(&engine).copied();
                 }
-                self.back(node, incarnation, engine, Event::Report(report));
+                self.reply(node, incarnation, engine, Event::Report(report));
             }
-            Flight::Raise { node, incarnation, engine, fence } => {
+            InTransit::Raise { node, incarnation, engine, fence } => {
                 self.raise(node, incarnation, engine, fence);
             }
-            Flight::Order { node, incarnation, engine, order } => {
+            InTransit::Order { node, incarnation, engine, order } => {
                 self.order(node, incarnation, engine, order);
             }
-            Flight::LoadEnd { node, incarnation, engine, order, epoch } => {
+            InTransit::LoadEnd { node, incarnation, engine, order, epoch } => {
                 let done = self.engines[engine].end_load(&order.adapter, epoch);
                 let result = if done { OrderResult::Done } else { OrderResult::Failed };
                 self.answer_order(node, incarnation, engine, order, result);
             }
-            Flight::ToNode { node, incarnation, engine, event } => {
+            InTransit::ToNode { node, incarnation, engine, event } => {
                 if self.is_current(node, incarnation) {
                     let engine = engine_name(engine);
                     self.input(node, Input::Engine { engine, event });
                 }
             }
-            Flight::Open { node, incarnation, token, grant, adapter } => {
+            InTransit::Open { node, incarnation, token, grant, adapter } => {
                 self.open(node, incarnation, token, grant, adapter);
             }
-            Flight::RunEnd { node, incarnation, token, grant } => {
+            InTransit::RunEnd { node, incarnation, token, grant } => {
                 self.run_end(node, incarnation, token, grant);
             }
         }
     }
 
-    /// An engine's word flies back.
-    fn back(&mut self, node: usize, incarnation: u64, engine: usize, event: Event) {
+    /// Sends an event from an engine back to a daemon.
+    fn reply(&mut self, node: usize, incarnation: u64, engine: usize, event: Event) {
         let delay = self.rng.random_range(1..=self.delay.max(1));
-        self.fly(delay, Flight::ToNode { node, incarnation, engine, event });
+        self.schedule(delay, InTransit::ToNode { node, incarnation, engine, event });
     }
 
     fn raise(&mut self, node: usize, incarnation: u64, engine: usize, fence: Fence) {
@@ -452,20 +456,20 @@
                 Ok(()) => Event::FenceRaised(fence),
                 Err(highest) => Event::FenceRefused(highest),
             };
-            return self.back(node, incarnation, engine, event);
+            return self.reply(node, incarnation, engine, event);
         }
         let free = !self.leases.contains_key(&engine);
         if !self.sees_kv(node) || !free || !self.is_current(node, incarnation) {
             return;
         }
         let until = self.now + LEASE_TTL;
-        self.leases.insert(engine, LeaseHeld { node, incarnation, until });
+        self.leases.insert(engine, Lease { node, incarnation, until });
         self.next_fence += 1;
         let fence = Fence(self.next_fence);
         let now = self.now;
         self.hosts[node].fences.insert(engine, fence);
-        self.hosts[node].renewed.insert(engine, now);
-        self.back(node, incarnation, engine, Event::FenceRaised(fence));
+        self.hosts[node].renewed_at.insert(engine, now);
+        self.reply(node, incarnation, engine, Event::FenceRaised(fence));
     }
 
     fn order(&mut self, node: usize, incarnation: u64, engine: usize, order: Order) {
@@ -478,17 +482,19 @@
             }
             let epoch = self.engines[engine].epoch;
             let delay = self.rng.random_range(100..1_500);
-            return self.fly(delay, Flight::LoadEnd { node, incarnation, engine, order, epoch });
+            return self
+                .schedule(delay, InTransit::LoadEnd { node, incarnation, engine, order, epoch });
         }
         let (result, in_use) = self.engines[engine].unload(&order.adapter);
         self.unloads += 1;
         if in_use > 0 {
-            self.broken.push(format!("{} was unloaded from e{engine} in use", order.adapter));
+            self.violations
+                .push(format!("{} was unloaded from e{engine} while in use", order.adapter));
         }
         self.answer_order(node, incarnation, engine, order, result);
     }
 
-    /// The answer to an order may get lost: the daemon then knows nothing.
+    /// Answers an order. If the answer is lost, the daemon gets an unknown result.
     fn answer_order(
         &mut self,
         node: usize,
@@ -499,7 +505,7 @@
     ) {
         let lost = self.rng.random_range(0..100) < self.loss_percent;
         let result = if lost { OrderResult::Unknown } else { result };
-        self.back(node, incarnation, engine, Event::OrderDone { id: order.id, result });
+        self.reply(node, incarnation, engine, Event::OrderDone { id: order.id, result });
     }
 
     fn open(
@@ -522,28 +528,29 @@
         engine.running.insert(grant.id, (adapter.clone(), token));
         self.runs += 1;
         if self.leaving_since.get(&at).is_some_and(|t| self.now.since(*t) > LEAVE_WITHIN) {
-            self.broken.push(format!("e{at} got work after it had left"));
+            self.violations.push(format!("e{at} got a request after it had left"));
         }
         let sent = self.requests.get_mut(&token).unwrap();
         sent.runs += 1;
         if sent.adapter != adapter {
-            self.broken.push(format!("{token:?} ran on {adapter}"));
+            self.violations.push(format!("{token:?} ran on {adapter}"));
         }
         if sent.runs > 1 {
-            self.broken.push(format!("{token:?} ran {} times", sent.runs));
+            self.violations.push(format!("{token:?} ran {} times", sent.runs));
         }
         let delay = self.rng.random_range(50..6_000);
-        self.fly(delay, Flight::RunEnd { node, incarnation, token, grant });
+        self.schedule(delay, InTransit::RunEnd { node, incarnation, token, grant });
     }
 
-    /// The engine is done; the entry node gets the end, or only notices a broken connection.
+    /// Finishes a request. If the connection broke, the entry node only notices the break and the
+    /// request goes on running for a while.
     fn run_end(&mut self, node: usize, incarnation: u64, token: Token, grant: Grant) {
         let at: usize = grant.engine.as_str()[1..].parse().unwrap();
         let lost = self.rng.random_range(0..100) < self.loss_percent;
         if lost {
             let (more, ended) = (self.rng.random_range(100..3_000), false);
             self.finish(node, incarnation, token, grant.clone(), ended);
-            return self.fly(more, Flight::RunEnd { node, incarnation: 0, token, grant });
+            return self.schedule(more, InTransit::RunEnd { node, incarnation: 0, token, grant });
         }
         self.engines[at].running.remove(&grant.id);
         self.finish(node, incarnation, token, grant, true);
@@ -553,7 +560,7 @@
         if !self.is_current(node, incarnation) {
             return;
         }
-        self.requests.get_mut(&token).unwrap().fate = Fate::Done;
+        self.requests.get_mut(&token).unwrap().state = RequestState::Done;
         let (engine, id) = (grant.engine, grant.id);
         self.input(node, Input::Finished { token, engine, id, ended });
     }
@@ -567,7 +574,10 @@
         let token = Token(self.next_token);
         let class = if background { Class::Background } else { Class::Interactive };
         let adapter = adapter(wanted);
-        self.requests.insert(token, Sent { adapter: adapter.clone(), runs: 0, fate: Fate::Open });
+        self.requests.insert(
+            token,
+            SentRequest { adapter: adapter.clone(), runs: 0, state: RequestState::Open },
+        );
         let wanted = Wanted {
             adapter,
             base: "base".parse().unwrap(),
@@ -581,7 +591,7 @@
     }
 
     /// A caller sends a request with an idempotency key.
-    pub fn keyed(&mut self, node: usize, key: u128) {
+    pub fn request_with_key(&mut self, node: usize, key: u128) {
         if self.hosts[node].paused {
             return;
         }
@@ -594,10 +604,10 @@
     pub fn cancel(&mut self, back: u64) {
         let token = Token(self.next_token.saturating_sub(back));
         let Some(sent) = self.requests.get_mut(&token) else { return };
-        if sent.fate != Fate::Open || sent.runs > 0 {
+        if sent.state != RequestState::Open || sent.runs > 0 {
             return;
         }
-        sent.fate = Fate::CallerGone;
+        sent.state = RequestState::CallerGone;
         for at in 0..self.hosts.len() {
             if !self.hosts[at].paused {
                 self.input(at, Input::Cancel(token));
@@ -620,23 +630,23 @@
 
     pub fn resume(&mut self, node: usize) {
         self.hosts[node].paused = false;
-        for input in std::mem::take(&mut self.hosts[node].held) {
+        for input in std::mem::take(&mut self.hosts[node].paused_inputs) {
             self.input(node, input);
         }
     }
 
-    /// A daemon dies and comes back with nothing.
+    /// Restarts a daemon, which loses its state.
     pub fn restart_node(&mut self, node: usize) {
         let after = self.hosts[node].incarnation;
         self.hosts[node] = self.new_host(node, after);
-        self.tell_servers(node);
-        self.orphan();
+        self.send_server_list(node);
+        self.mark_orphaned();
     }
 
-    /// Requests whose daemon no longer knows them have no answer to expect.
-    fn orphan(&mut self) {
-        for sent in self.requests.values_mut().filter(|s| s.fate == Fate::Open) {
-            sent.fate = Fate::Orphaned;
+    /// Marks all open requests as orphaned: the restarted daemon may no longer know them.
+    fn mark_orphaned(&mut self) {
+        for sent in self.requests.values_mut().filter(|s| s.state == RequestState::Open) {
+            sent.state = RequestState::Orphaned;
         }
     }
 
@@ -659,7 +669,7 @@
         self.kv_down = down;
     }
 
-    /// Cuts one daemon off from the key-value service.
+    /// Disconnects a daemon from the key-value service.
     pub fn cut_kv(&mut self, node: usize) {
         self.kv_cut.insert(node);
     }
@@ -680,17 +690,17 @@
         }
     }
 
-    /// Requests that never got an answer.
+    /// Number of requests without an answer.
     pub fn unanswered(&self) -> usize {
-        self.requests.values().filter(|sent| sent.fate == Fate::Open).count()
+        self.requests.values().filter(|sent| sent.state == RequestState::Open).count()
     }
 
-    /// Keys that were given to a request.
-    pub fn keys_given(&self) -> usize {
+    /// Number of keys granted to requests.
+    pub fn granted_keys(&self) -> usize {
         self.key_owners.values().map(Vec::len).sum()
     }
 
     pub fn answered(&self) -> usize {
-        self.requests.values().filter(|sent| sent.fate == Fate::Done).count()
+        self.requests.values().filter(|sent| sent.state == RequestState::Done).count()
     }
 }
--- a/crates/portrack/tests/keeper.rs
+++ b/crates/portrack/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! The memory of idempotency keys, message by message.
+//! Tests of the keepers of idempotency keys.
 
 use portrack::once::{Keeper, KeeperOutput};
 use portrack::types::{Instance, NodeName, ReservationId, Time};
@@ -6,14 +6,15 @@
 use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_secs(8);
-/// The end of the window and of the time in which a key may still be used.
+/// A time by which a keeper that started at zero has covered a whole window plus the time in which a
+/// key may still be used, so that its memory is trusted.
 const TRUSTED: Time = Time(20_000);
 
 fn node(name: &str) -> NodeName {
     name.parse().unwrap()
 }
 
-/// A keeper among `nodes` of hall a that has looked every second until [`TRUSTED`].
+/// A keeper among `nodes` of hall a whose member list was updated every second until [`TRUSTED`].
 fn keeper(me: &str, nodes: &[&str]) -> Keeper {
     let mut keeper = Keeper::new(node(me), WINDOW);
     let all: Vec<NodeName> = nodes.iter().map(|name| node(name)).collect();
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_claim_waits_for_the_second_keeper() {
+fn a_claim_is_confirmed_only_after_the_second_keeper_has_copied_it() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
     let outputs = first.claim(TRUSTED, claim(key, 1));
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn a_repeated_claim_that_was_taken_by_another_stays_taken() {
+fn a_claim_refused_as_taken_is_refused_again_when_repeated() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
     first.claim(TRUSTED, claim(key, 1));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_key_that_was_not_used_is_free_again() {
+fn a_released_key_can_be_claimed_again() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
     first.claim(TRUSTED, claim(key, 1));
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn another_request_cannot_free_a_key() {
+fn a_key_cannot_be_released_by_another_request() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
     first.claim(TRUSTED, claim(key, 1));
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn two_new_keepers_trust_neither_memory() {
+fn two_new_keepers_do_not_confirm_a_claim() {
     let mut first = Keeper::new(node("n1"), WINDOW);
     let halls = [("a".parse().unwrap(), vec![node("n1"), node("n2")])].into();
     first.members(Time(0), halls);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_key_is_forgotten_after_its_window_and_not_before() {
+fn a_key_is_kept_for_its_window_and_then_removed() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
     first.claim(TRUSTED, claim(key, 1));
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_hall_that_cannot_be_reached_keeps_its_keys() {
+fn keys_of_an_unreachable_hall_are_not_reassigned() {
     let mut here = Keeper::new(node("n1"), WINDOW);
     let both = |away: Vec<NodeName>| {
         [("a".parse().unwrap(), vec![node("n1")]), ("b".parse().unwrap(), away)].into()
@@ -124,19 +125,19 @@
 }
 
 #[test]
-fn a_keeper_that_did_not_look_for_a_while_trusts_nothing_from_before() {
+fn a_keeper_that_missed_updates_does_not_trust_its_memory() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
-    let woken = Time(TRUSTED.0 + 10_000);
+    let resumed = Time(TRUSTED.0 + 10_000);
     let halls = [("a".parse().unwrap(), vec![node("n1"), node("n2")])].into();
-    first.members(woken, halls);
-    first.claim(woken, claim(key, 1));
+    first.members(resumed, halls);
+    first.claim(resumed, claim(key, 1));
     let outputs = first.copied(reply(key, 1, KeyVerdict::Untrusted));
     assert_eq!(verdicts(&outputs), [KeyVerdict::Untrusted]);
 }
 
 #[test]
-fn a_keeper_that_looked_all_along_is_enough_beside_a_new_one() {
+fn a_trusted_keeper_confirms_a_claim_beside_a_new_one() {
     let mut first = keeper("n1", &["n1", "n2"]);
     let key = own_key(&first, "n1");
     first.claim(TRUSTED, claim(key, 1));
--- a/crates/portrack/tests/members.rs
+++ b/crates/portrack/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership, settings in memory, and the load planner, step by step.
+//! Tests of the membership, the settings in memory and the load planner.
 
 use portrack::loads::{Budget, LoadPlanner};
 use portrack::membership::{Health, Membership, Peer, Scope, Timing};
@@ -12,7 +12,7 @@
     name.parse().unwrap()
 }
 
-/// A peer of the hall that its first letter names.
+/// A peer in the hall that the first letter of its name denotes.
 fn peer(name: &str) -> Peer {
     Peer {
         node: node(name),
@@ -22,7 +22,7 @@
     }
 }
 
-fn beat(state: MemberState, suspects: &[&str]) -> Heartbeat {
+fn heartbeat(state: MemberState, suspects: &[&str]) -> Heartbeat {
     Heartbeat {
         state,
         settings: SettingsMark::default(),
@@ -38,9 +38,9 @@
     members
 }
 
-fn hear(members: &mut Membership, now: Time, name: &str, suspects: &[&str]) -> bool {
+fn receive_heartbeat(members: &mut Membership, now: Time, name: &str, suspects: &[&str]) -> bool {
     let from = Instance { node: node(name), incarnation: 1 };
-    members.heard(now, &from, &beat(MemberState::Alive, suspects))
+    members.heard(now, &from, &heartbeat(MemberState::Alive, suspects))
 }
 
 fn health(members: &Membership, name: &str) -> Health {
@@ -48,60 +48,60 @@
 }
 
 #[test]
-fn silence_is_suspected_first_and_deadly_later() {
+fn a_silent_member_is_suspected_first_and_then_declared_dead() {
     let mut members = members(&["a2"]);
     assert_eq!(health(&members, "a2"), Health::Unheard);
-    hear(&mut members, Time(0), "a2", &[]);
+    receive_heartbeat(&mut members, Time(0), "a2", &[]);
     for (now, expected) in [(2_900, Health::Alive), (3_000, Health::Suspect), (5_000, Health::Dead)]
     {
         members.tick(Time(now));
         assert_eq!(health(&members, "a2"), expected, "at {now} ms");
     }
-    assert!(hear(&mut members, Time(6_000), "a2", &[]));
+    assert!(receive_heartbeat(&mut members, Time(6_000), "a2", &[]));
     assert_eq!(health(&members, "a2"), Health::Alive);
 }
 
 #[test]
-fn one_node_alone_does_not_declare_a_member_dead_that_the_others_hear() {
+fn a_member_is_not_declared_dead_while_others_receive_its_heartbeats() {
     let mut members = members(&["a2", "a3", "a4"]);
-    hear(&mut members, Time(0), "a2", &[]);
+    receive_heartbeat(&mut members, Time(0), "a2", &[]);
     for second in 1..=8 {
         let now = Time(second * 1_000);
-        hear(&mut members, now, "a3", &[]);
-        hear(&mut members, now, "a4", &[]);
+        receive_heartbeat(&mut members, now, "a3", &[]);
+        receive_heartbeat(&mut members, now, "a4", &[]);
         members.tick(now);
     }
     assert_eq!(health(&members, "a2"), Health::Suspect);
-    hear(&mut members, Time(8_500), "a3", &["a2"]);
-    hear(&mut members, Time(8_500), "a4", &["a2"]);
+    receive_heartbeat(&mut members, Time(8_500), "a3", &["a2"]);
+    receive_heartbeat(&mut members, Time(8_500), "a4", &["a2"]);
     members.tick(Time(8_600));
     assert_eq!(health(&members, "a2"), Health::Dead);
 }
 
 #[test]
-fn an_older_incarnation_is_not_listened_to() {
+fn heartbeats_of_an_older_incarnation_are_ignored() {
     let mut members = members(&["a2"]);
     let from = |incarnation| Instance { node: node("a2"), incarnation };
-    assert!(members.heard(Time(0), &from(5), &beat(MemberState::Alive, &[])));
-    assert!(!members.heard(Time(1), &from(4), &beat(MemberState::Leaving, &[])));
+    assert!(members.heard(Time(0), &from(5), &heartbeat(MemberState::Alive, &[])));
+    assert!(!members.heard(Time(1), &from(4), &heartbeat(MemberState::Leaving, &[])));
     assert_eq!(members.get(&node("a2")).unwrap().state, MemberState::Alive);
 }
 
 #[test]
-fn a_leaving_member_owns_nothing_from_its_first_word_on() {
+fn a_member_that_announces_leaving_owns_nothing() {
     let mut members = members(&["a2", "a3"]);
     for name in ["a2", "a3"] {
-        hear(&mut members, Time(0), name, &[]);
+        receive_heartbeat(&mut members, Time(0), name, &[]);
     }
     let engine = (0..).map(|n| format!("e{n}"));
     let engine = engine.into_iter().find(|e| members.owner_of(e) == Some(&node("a2"))).unwrap();
     let from = Instance { node: node("a2"), incarnation: 1 };
-    members.heard(Time(10), &from, &beat(MemberState::Leaving, &[]));
+    members.heard(Time(10), &from, &heartbeat(MemberState::Leaving, &[]));
     assert_ne!(members.owner_of(&engine), Some(&node("a2")));
 }
 
 #[test]
-fn other_halls_are_heard_at_a_slower_pace() {
+fn heartbeats_to_other_halls_are_less_frequent() {
     let mut members = members(&["a2", "b1"]);
     let mut sent = Vec::new();
     for tenth in 0..100 {
@@ -113,15 +113,15 @@
 }
 
 #[test]
-fn the_dead_that_the_platform_no_longer_lists_are_forgotten() {
+fn dead_members_missing_from_the_node_list_are_removed() {
     let mut members = members(&["a2", "a3"]);
-    hear(&mut members, Time(0), "a2", &[]);
+    receive_heartbeat(&mut members, Time(0), "a2", &[]);
     members.tick(Time(20_000));
     members.listed(Time(20_000), vec![peer("a1"), peer("a3")]);
     assert!(members.get(&node("a2")).is_none());
     assert!(members.get(&node("a3")).is_some());
     members.listed(Time(20_000), Vec::new());
-    assert!(members.get(&node("a3")).is_some(), "a list without this node says nothing");
+    assert!(members.get(&node("a3")).is_some(), "a list without this node must not remove members");
 }
 
 fn change(id: u128, edit: Edit) -> Change {
@@ -133,7 +133,7 @@
     Edit::Set { path: path.parse().unwrap(), key: key.into(), value: Some(value) }
 }
 
-/// The entry that an edit makes of an old one.
+/// The entry that results from applying an edit to an old one.
 fn entry(edit: Edit, old: Option<Entry>, revision: u64) -> FetchEntry {
     let key = edit.entry_key();
     let (value, _) = change(u128::from(revision), edit).build("ann", 0, old).unwrap();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn an_older_revision_never_comes_into_force() {
+fn an_older_revision_is_never_applied() {
     let mut book = Book::default();
     let newer = entry(set("fleet", "stall_weight", 70), None, 9);
     let older = entry(set("fleet", "stall_weight", 30), None, 8);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_entry_of_a_later_build_is_refused_and_what_was_there_stays() {
+fn an_entry_in_a_later_format_is_refused_and_the_old_one_stays() {
     let mut book = Book::default();
     book.apply(entry(set("fleet", "stall_weight", 70), None, 1));
     let mut later = entry(set("fleet", "stall_weight", 30), None, 2);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn children_override_their_parents_and_explain_says_so() {
+fn child_nodes_override_parents_and_explain_names_the_origin() {
     let mut book = Book::default();
     for (revision, (path, value)) in [
         ("fleet", 10),
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn two_books_that_exchange_entries_end_up_alike() {
+fn two_books_converge_after_exchanging_entries() {
     let (mut one, mut other) = (Book::default(), Book::default());
     one.apply(entry(set("fleet", "stall_weight", 70), None, 5));
     other.apply(entry(set("fleet", "stall_weight", 30), None, 4));
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn rules_decide_which_version_serves_what() {
+fn rules_select_the_version_that_serves_a_request() {
     let spec = versions(&[("v1", 75, None), ("v2", 25, None), ("v2", 0, Some("trial"))]);
     let route = |draw| spec.route(None, "chat", "a", draw).unwrap().version.to_string();
     let first = (0..100).filter(|draw| route(*draw) == "v1").count();
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn the_planner_keeps_to_rate_and_concurrency_and_gives_no_permit_twice() {
+fn the_planner_respects_rate_and_concurrency_and_counts_each_permit_once() {
     let budget = Budget { per_second: 3.0, at_once: 2, ..Budget::default() };
     let mut planner = LoadPlanner::new(budget, Time(0));
     let mut given = Vec::new();
@@ -257,7 +257,7 @@
     }
     assert_eq!(given.len(), 2);
     let again = planner.ask(Time(1), node("n1"), permit("e1", "a", 1));
-    assert_eq!(again.len(), 1, "a lost grant is given again");
+    assert_eq!(again.len(), 1, "a repeated request gets the same permit again");
     assert_eq!(planner.given_count(), 2);
     let mut at = 2;
     while !given.is_empty() && at < 100 {
@@ -265,11 +265,11 @@
         given.extend(planner.done(Time(at), &load));
         at += 1;
     }
-    assert_eq!(planner.asked_count(), 2, "three permits within the first second's rate");
+    assert_eq!(planner.asked_count(), 2, "the rate allows three permits in the first second");
 }
 
 #[test]
-fn more_who_wait_go_first() {
+fn the_load_with_the_highest_weight_goes_first() {
     let budget = Budget { per_second: 10.0, at_once: 1, ..Budget::default() };
     let mut planner = LoadPlanner::new(budget, Time(0));
     let first = planner.ask(Time(0), node("n1"), permit("e1", "a", 1));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_permit_whose_owner_died_is_free_again() {
+fn a_permit_expires_if_its_owner_has_died() {
     let budget = Budget { at_once: 1, ..Budget::default() };
     let mut planner = LoadPlanner::new(budget, Time(0));
     planner.ask(Time(0), node("n1"), permit("e1", "a", 1));
