--- a/crates/portrack/src/owner/loading.rs
+++ b/crates/portrack/src/owner/loading.rs
@@ -8,7 +8,7 @@
 
 /// Weight of a waiting interactive request; a background request has weight 1.
 const INTERACTIVE_WEIGHT: u32 = 4;
-/// Limit on the doublings of the load backoff; keeps the factor within `u32`.
+/// Maximum doublings of the load backoff; by then its cap is certain to apply.
 const MAX_DOUBLINGS: u32 = 10;
 
 impl EngineOwner {
