--- a/crates/portrack-bench/src/capacity/bytes.rs
+++ b/crates/portrack-bench/src/capacity/bytes.rs
@@ -7,8 +7,8 @@
 use portrack::settings::{Entry, EntryBody, encode};
 use portrack::types::{Fence, ReservationId};
 use portrack::wire::{
-    Envelope, FetchAsk, FetchEntry, FetchReply, Key, KeyClaim, KeyReply, KeyRing, KeyVerdict,
-    Message, PermitAsk, PermitRef, cluster_mark, seal, seal_frame,
+    Envelope, FetchEntry, FetchReply, FetchRequest, Key, KeyClaim, KeyReply, KeyRing, KeyVerdict,
+    Message, PermitAsk, PermitRef, cluster_hash, seal, seal_frame,
 };
 
 /// Bytes of IPv4 and UDP headers around a datagram.
@@ -30,7 +30,7 @@
 
 fn sealed(body: Message) -> f64 {
     let envelope = Envelope {
-        cluster: cluster_mark("fleet"),
+        cluster: cluster_hash("fleet"),
         from: sample::instance(7, 12),
         to: sample::peer(7, 13).node,
         seq: 60_000,
@@ -89,7 +89,7 @@
         fixed("key-free", Message::KeyFree(claim)),
         sized("fetch-ask", "entries", &[64, 128, 300], |n| {
             let have = (0..n as u64).map(|at| (at.wrapping_mul(0x9E37_79B9_7F4A_7C15), 2_400_000));
-            let ask = FetchAsk { cluster: cluster_mark("fleet"), have: have.collect() };
+            let ask = FetchRequest { cluster: cluster_hash("fleet"), have: have.collect() };
             seal_frame(&ring(), &ask).expect("samples fit a frame").len() as f64
         }),
         sized("fetch-reply, one bucket", "adapters", &[10, 20, 40, 80], bucket_frame),
--- a/crates/portrack-bench/src/capacity/cpu.rs
+++ b/crates/portrack-bench/src/capacity/cpu.rs
@@ -71,7 +71,7 @@
 
 fn seal_and_open(engines: usize) -> f64 {
     let (ring, to) = (ring(), sample::peer(7, 13).node);
-    let cluster = wire::cluster_mark("fleet");
+    let cluster = wire::cluster_hash("fleet");
     let body = Message::Heartbeat(sample::heartbeat(7, engines));
     let from = sample::instance(7, 12);
     micros(2_000, |at| {
--- a/crates/portrack/src/daemon/fetch.rs
+++ b/crates/portrack/src/daemon/fetch.rs
@@ -2,7 +2,7 @@
 
 use super::core::Core;
 use crate::types::NodeName;
-use crate::wire::{FetchAsk, FetchReply, Kind, MAX_FRAME, WireError, open_frame, seal_frame};
+use crate::wire::{FetchReply, FetchRequest, Kind, MAX_FRAME, WireError, open_frame, seal_frame};
 use actix_rt::net::{TcpListener, TcpStream};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
 
     async fn exchange(&self, address: SocketAddr) -> Result<FetchReply, FetchError> {
         let mut stream = TcpStream::connect(address).await.map_err(|_| FetchError::Broken)?;
-        let ask = FetchAsk { cluster: self.link.cluster(), have: self.book.borrow().have() };
+        let ask = FetchRequest { cluster: self.link.cluster(), have: self.book.borrow().have() };
         let ask = seal_frame(&self.link.ring(), &ask).map_err(FetchError::Wire)?;
         stream.write_all(&ask).await.map_err(|_| FetchError::Broken)?;
         let frame = read_frame(&mut stream, MAX_FRAME).await?;
@@ -89,7 +89,7 @@
 
     async fn serve_fetch(&self, mut stream: TcpStream) -> Result<(), FetchError> {
         let frame = read_frame(&mut stream, MAX_ASK).await?;
-        let ask: FetchAsk = open_frame(&self.link.ring(), &frame).map_err(FetchError::Wire)?;
+        let ask: FetchRequest = open_frame(&self.link.ring(), &frame).map_err(FetchError::Wire)?;
         if ask.cluster != self.link.cluster() {
             return Err(FetchError::Wire(WireError::Cluster));
         }
--- a/crates/portrack/src/daemon/mod.rs
+++ b/crates/portrack/src/daemon/mod.rs
@@ -25,6 +25,6 @@
 
 pub use error::StartError;
 pub use leases::{HeldLock, LEASE_TTL, Leases, ORDER_WITHIN, RENEW_EVERY};
-pub use logging::{init as init_logging, init_to as log_to};
+pub use logging::{init as init_logging, init_to as init_logging_to};
 pub use running::{Running, start};
 pub use status::{MemberStatus, OwnedStatus, StatusReport};
--- a/crates/portrack/src/daemon/peers.rs
+++ b/crates/portrack/src/daemon/peers.rs
@@ -26,7 +26,7 @@
         Self {
             socket,
             ring: RefCell::new(ring),
-            cluster: wire::cluster_mark(cluster),
+            cluster: wire::cluster_hash(cluster),
             sent: RefCell::default(),
             seen: RefCell::default(),
         }
--- a/crates/portrack/src/daemon/running.rs
+++ b/crates/portrack/src/daemon/running.rs
@@ -245,7 +245,7 @@
     }
 
     /// Resolves once a planned stop was asked for over the operators' listener.
-    pub async fn asked_to_leave(&self) {
+    pub async fn drain_requested(&self) {
         while !self.core.leaving.get() {
             actix_rt::time::sleep(STOP_LOOK).await;
         }
--- a/crates/portrack/src/wire/codec.rs
+++ b/crates/portrack/src/wire/codec.rs
@@ -17,7 +17,7 @@
 const HEADER_LEN: usize = 1 + TAG_LEN;
 
 /// The number that marks a cluster's datagrams.
-pub fn cluster_mark(name: &str) -> u32 {
+pub fn cluster_hash(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) >> 32) as u32
 }
 
--- a/crates/portrack/src/wire/envelope.rs
+++ b/crates/portrack/src/wire/envelope.rs
@@ -7,7 +7,7 @@
 /// A message with its sender, receiver and number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The cluster's mark; see [`super::cluster_mark`].
+    /// The cluster's mark; see [`super::cluster_hash`].
     pub cluster: u32,
     /// The sender.
     pub from: Instance,
--- a/crates/portrack/src/wire/frame.rs
+++ b/crates/portrack/src/wire/frame.rs
@@ -13,7 +13,7 @@
 
 /// Asks for every entry that is newer than what the asker has.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FetchAsk {
+pub struct FetchRequest {
     /// The cluster's mark.
     pub cluster: u32,
     /// Hash of key and the revision held, for each entry.
--- a/crates/portrack/src/wire/mod.rs
+++ b/crates/portrack/src/wire/mod.rs
@@ -13,10 +13,10 @@
 mod replay;
 
 pub use claim::{KeyClaim, KeyReply, KeyVerdict};
-pub use codec::{MAX_DATAGRAM, VERSION, cluster_mark, open, seal};
+pub use codec::{MAX_DATAGRAM, VERSION, cluster_hash, open, seal};
 pub use envelope::Envelope;
 pub use error::WireError;
-pub use frame::{FetchAsk, FetchEntry, FetchReply, MAX_FRAME, open_frame, seal_frame};
+pub use frame::{FetchEntry, FetchReply, FetchRequest, MAX_FRAME, open_frame, seal_frame};
 pub use heartbeat::{Heartbeat, MemberState, SettingsMark};
 pub use key::{Key, KeyRing, KeyRingError};
 pub use kind::Kind;
--- a/crates/portrack/tests/wire.rs
+++ b/crates/portrack/tests/wire.rs
@@ -3,8 +3,8 @@
 use portrack::settings::{Bootstrap, SettingsFile, TreePath, decode};
 use portrack::types::{Instance, NodeName};
 use portrack::wire::{
-    Envelope, FetchAsk, FetchReply, Heartbeat, Key, KeyRing, MemberState, Message, ReplayWindow,
-    SettingsMark, WireError, cluster_mark, open, open_frame, seal, seal_frame,
+    Envelope, FetchReply, FetchRequest, Heartbeat, Key, KeyRing, MemberState, Message,
+    ReplayWindow, SettingsMark, WireError, cluster_hash, open, open_frame, seal, seal_frame,
 };
 use proptest::prelude::*;
 use std::path::Path;
@@ -19,7 +19,7 @@
 
 fn envelope(seq: u64) -> Envelope {
     Envelope {
-        cluster: cluster_mark("c"),
+        cluster: cluster_hash("c"),
         from: Instance { node: node("n1"), incarnation: 5 },
         to: node("n2"),
         seq,
@@ -36,7 +36,7 @@
 #[test]
 fn a_datagram_comes_back_as_it_was() {
     let sealed = seal(&ring(1), &envelope(3)).unwrap();
-    let (from, seq, body) = open(&ring(1), cluster_mark("c"), &node("n2"), &sealed).unwrap();
+    let (from, seq, body) = open(&ring(1), cluster_hash("c"), &node("n2"), &sealed).unwrap();
     assert_eq!((from, seq, body), (envelope(3).from, 3, envelope(3).body));
 }
 
@@ -44,7 +44,7 @@
 fn wrong_keys_clusters_receivers_and_truncation_are_told_apart() {
     let sealed = seal(&ring(1), &envelope(3)).unwrap();
     let to = |ring: &KeyRing, cluster: &str, me: &str, bytes: &[u8]| {
-        open(ring, cluster_mark(cluster), &node(me), bytes).unwrap_err().label()
+        open(ring, cluster_hash(cluster), &node(me), bytes).unwrap_err().label()
     };
     assert_eq!(to(&ring(2), "c", "n2", &sealed), "tag");
     assert_eq!(to(&ring(1), "other", "n2", &sealed), "cluster");
@@ -65,7 +65,7 @@
     let after = KeyRing::parse(&format!("{new}\n")).unwrap();
     let opens = |signer: &KeyRing, reader: &KeyRing| {
         let sealed = seal(signer, &envelope(1)).unwrap();
-        open(reader, cluster_mark("c"), &node("n2"), &sealed).is_ok()
+        open(reader, cluster_hash("c"), &node("n2"), &sealed).is_ok()
     };
     assert!(opens(&before, &between) && opens(&between, &after));
     assert!(!opens(&before, &after));
@@ -128,12 +128,12 @@
     /// Bytes behind a good tag still may be anything: an accepted key may be of another build.
     #[test]
     fn no_decoder_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = open(&ring(1), cluster_mark("c"), &node("n2"), &bytes);
+        let _ = open(&ring(1), cluster_hash("c"), &node("n2"), &bytes);
         let mut sealed = vec![1];
         sealed.extend_from_slice(&ring(1).sign(&bytes));
         sealed.extend_from_slice(&bytes);
-        let _ = open(&ring(1), cluster_mark("c"), &node("n2"), &sealed);
-        let _ = open_frame::<FetchAsk>(&ring(1), &sealed);
+        let _ = open(&ring(1), cluster_hash("c"), &node("n2"), &sealed);
+        let _ = open_frame::<FetchRequest>(&ring(1), &sealed);
         let _ = open_frame::<FetchReply>(&ring(1), &sealed);
         let _ = decode(&bytes);
         let text = String::from_utf8_lossy(&bytes);
@@ -145,11 +145,11 @@
 
     #[test]
     fn frames_come_back_as_they_were(have in proptest::collection::vec(any::<(u64, u64)>(), 0..50)) {
-        let ask = FetchAsk { cluster: 7, have };
+        let ask = FetchRequest { cluster: 7, have };
         let frame = seal_frame(&ring(1), &ask).unwrap();
         let length = u32::from_be_bytes(frame[..4].try_into().unwrap()) as usize;
         prop_assert_eq!(length, frame.len() - 4);
-        let opened: FetchAsk = open_frame(&ring(1), &frame[4..]).unwrap();
+        let opened: FetchRequest = open_frame(&ring(1), &frame[4..]).unwrap();
         prop_assert_eq!(opened, ask);
     }
 }
--- a/crates/portrackd/src/gateway.rs
+++ b/crates/portrackd/src/gateway.rs
@@ -33,7 +33,7 @@
         return ExitCode::SUCCESS;
     }
     let sink = LogSink::default();
-    if let Err(error) = portrack::daemon::log_to(Box::new(sink.clone())) {
+    if let Err(error) = portrack::daemon::init_logging_to(Box::new(sink.clone())) {
         eprintln!("portrackd: log: {error}");
         return ExitCode::from(FAILED);
     }
--- a/crates/portrackd/src/main.rs
+++ b/crates/portrackd/src/main.rs
@@ -85,7 +85,7 @@
     let asked = [
         terminate.recv().map(drop).boxed_local(),
         interrupt.recv().map(drop).boxed_local(),
-        running.asked_to_leave().boxed_local(),
+        running.drain_requested().boxed_local(),
     ];
     select_all(asked).await;
     match running.stop().await {
