--- a/crates/portrack/src/daemon/completion.rs
+++ b/crates/portrack/src/daemon/completion.rs
@@ -74,7 +74,7 @@
         let prompt = Prompt::parse(endpoint, &body)?;
         let wanted = resolve(core, &prompt, &meta, &service)?;
         let deadline = arrived + meta.deadline.unwrap_or_else(|| settings.deadline());
-        core.retries.borrow_mut().note_request();
+        core.retries.borrow_mut().record_request();
         Ok(Self {
             core: core.clone(),
             endpoint,
--- a/crates/portrack/src/daemon/core.rs
+++ b/crates/portrack/src/daemon/core.rs
@@ -180,7 +180,7 @@
     /// Refreshes everything that follows from the settings.
     pub fn settings_changed(&self) {
         let effective = self.effective(None);
-        self.node.borrow_mut().retune(effective.tunables(&self.base));
+        self.node.borrow_mut().set_tunables(effective.tunables(&self.base));
         self.retries.borrow_mut().set_share(effective.retry_budget());
         let revision = self.book.borrow().mark().revision;
         self.metrics.settings_revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
--- a/crates/portrack/src/daemon/plain.rs
+++ b/crates/portrack/src/daemon/plain.rs
@@ -93,7 +93,7 @@
         (Some(key), false) => Some(HeldKey::claim(core, name.as_str(), key).await?),
         _ => None,
     };
-    core.retries.borrow_mut().note_request();
+    core.retries.borrow_mut().record_request();
     let forward = Forward {
         core: core.clone(),
         service: name,
--- a/crates/portrack/src/engine/call.rs
+++ b/crates/portrack/src/engine/call.rs
@@ -1,9 +1,9 @@
-//! A completion call to an engine.
+//! Completion calls to an engine.
 
 use crate::types::{AdapterVersion, Class, Fence, ReservationId};
 use bytes::Bytes;
 
-/// Which of the OpenAI-style calls.
+/// The OpenAI-style endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Endpoint {
     /// `/v1/chat/completions`
@@ -13,7 +13,7 @@
 }
 
 impl Endpoint {
-    /// The path.
+    /// The URL path.
     pub fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -22,16 +22,16 @@
     }
 }
 
-/// Everything that goes to the engine.
+/// A completion call as it is sent to the engine.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Which call.
+    /// The endpoint.
     pub endpoint: Endpoint,
     /// The reservation, which is the request's id at the engine.
     pub id: ReservationId,
-    /// What it runs on.
+    /// The adapter version to run.
     pub adapter: AdapterVersion,
-    /// How urgent it is.
+    /// The urgency class.
     pub class: Class,
     /// The fence of the grant.
     pub fence: Fence,
--- a/crates/portrack/src/engine/chunk.rs
+++ b/crates/portrack/src/engine/chunk.rs
@@ -1,30 +1,30 @@
-//! Chunks of a stream, and the check that each is the next one of its own request.
+//! Chunks of a stream, and the check that each one is the next chunk of the expected request.
 
 use crate::types::ReservationId;
 use std::str::FromStr;
 
-/// One chunk.
+/// A chunk of a response stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
-    /// Its place in the stream, from 0.
+    /// Position in the stream, from 0.
     pub position: u64,
     /// The JSON text, or `[DONE]`.
     pub data: String,
 }
 
 impl Chunk {
-    /// True for the mark at the end of every whole stream.
+    /// Whether this is the `[DONE]` marker that ends every complete stream.
     pub fn is_end(&self) -> bool {
         self.data == "[DONE]"
     }
 }
 
-/// What becomes of a chunk.
+/// The result of checking a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChunkVerdict {
-    /// It is the next one.
+    /// The expected chunk: accept it.
     Take,
-    /// It has been taken before: drop it.
+    /// It was accepted before: drop it.
     Repeated,
     /// It belongs to another request, or to none: drop it.
     Foreign,
@@ -32,7 +32,7 @@
     Gap,
 }
 
-/// Checks the id line of each event, `REQUEST/POSITION`.
+/// Checks the id of each event, which has the form `REQUEST/POSITION`.
 #[derive(Debug, Clone)]
 pub struct ChunkCheck {
     id: ReservationId,
@@ -40,13 +40,13 @@
 }
 
 impl ChunkCheck {
-    /// Expects the stream of this request from its beginning.
+    /// Creates a check that expects the stream of this request from its beginning.
     pub fn new(id: ReservationId) -> Self {
         Self { id, next: 0 }
     }
 
-    /// Judges an event by its id line; a taken one moves the expectation on.
-    pub fn judge(&mut self, event_id: &str) -> ChunkVerdict {
+    /// Checks an event by its id. An accepted event advances the expected position.
+    pub fn check_event(&mut self, event_id: &str) -> ChunkVerdict {
         let Some((request, position)) = event_id.split_once('/') else {
             return ChunkVerdict::Foreign;
         };
@@ -68,12 +68,12 @@
         }
     }
 
-    /// The position of the next chunk.
+    /// The position of the next expected chunk.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The request.
+    /// The id of the request.
     pub fn id(&self) -> ReservationId {
         self.id
     }
--- a/crates/portrack/src/engine/client.rs
+++ b/crates/portrack/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! The calls to an engine over HTTP.
+//! HTTP client for engines.
 
 use super::call::Call;
 use super::status::{FenceAnswer, FenceOrder, LoadOrder, Status, UnloadOrder};
@@ -13,15 +13,15 @@
 use snafu::Snafu;
 use std::time::Duration;
 
-/// The longest wait for a status, a fence or a cancellation.
-const SHORT: Duration = Duration::from_secs(2);
-/// The longest wait for a load or unload.
-const ORDER: Duration = Duration::from_secs(60);
-/// The longest wait for the head of a stream.
-const HEAD: Duration = Duration::from_secs(30);
-/// The longest wait for a connection. Below the owners' start margin, which covers it.
-const CONNECT: Duration = Duration::from_millis(400);
-/// The largest status taken, in bytes.
+/// Timeout of a status, fence or cancel call.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a load or unload.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout for the response head of a stream.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for connecting. Must stay below the owners' start margin, which includes it.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Largest status or error body accepted, in bytes.
 const MAX_STATUS: usize = 4 * 1024 * 1024;
 
 /// Why a stream did not open.
@@ -30,22 +30,22 @@
     /// The engine certainly did not run the request.
     #[snafu(display("not run: {why}"))]
     NotRun {
-        /// What it said.
+        /// The engine's message or the connection error.
         why: String,
     },
-    /// The engine did not run the request because it does not hold the adapter.
+    /// The engine did not run the request because the adapter is not loaded.
     #[snafu(display("not run: the adapter is not loaded"))]
     Missing,
-    /// The request itself is bad; another engine would say the same.
+    /// The request is invalid; other engines would reject it too.
     #[snafu(display("rejected: {why}"))]
     Rejected {
-        /// What it said.
+        /// The engine's status code and message.
         why: String,
     },
-    /// It may have run.
+    /// The engine may have run the request.
     #[snafu(display("no answer: {why}"))]
     Unknown {
-        /// What the connection said.
+        /// The connection error or the response.
         why: String,
     },
 }
@@ -53,15 +53,15 @@
 /// Why a stream was not resumed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ResumeError {
-    /// The engine does not know the request any more.
-    #[snafu(display("the engine does not know the request any more"))]
+    /// The engine no longer knows the request.
+    #[snafu(display("the engine no longer knows the request"))]
     Gone,
     /// The connection broke.
     #[snafu(display("the connection broke"))]
     Lost,
 }
 
-/// A client of all engines.
+/// An HTTP client for all engines.
 #[derive(Clone)]
 pub struct EngineClient {
     control: Client,
@@ -75,19 +75,19 @@
 }
 
 impl EngineClient {
-    /// A client with its own connections.
+    /// Creates a client with its own connection pools.
     pub fn new() -> Self {
-        let connector = || Connector::new().timeout(CONNECT).limit(0);
-        let control = Client::builder().connector(connector()).timeout(SHORT).finish();
+        let connector = || Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
+        let control = Client::builder().connector(connector()).timeout(CONTROL_TIMEOUT).finish();
         let streams = Client::builder()
             .connector(connector().conn_keep_alive(Duration::ZERO))
-            .timeout(HEAD)
+            .timeout(HEAD_TIMEOUT)
             .disable_redirects()
             .finish();
         Self { control, streams }
     }
 
-    /// The engine's status as a report; `None` if it does not answer.
+    /// Fetches the engine's status as a report; `None` if there is no valid response.
     pub async fn status(&self, address: &str, asked_at: Time) -> Option<Report> {
         let sent = self.control.get(format!("{address}/v1/status")).send().await;
         let mut response = sent.ok()?;
@@ -99,8 +99,8 @@
         Some(status.report(asked_at))
     }
 
-    /// Asks the engine to accept a fence. `Err` carries the higher one that it has; `None` means
-    /// that it does not answer.
+    /// Asks the engine to accept a fence. `Err` contains the higher fence that the engine has already
+    /// accepted; `None` means that there is no valid response.
     pub async fn raise_fence(&self, address: &str, fence: Fence) -> Option<Result<(), Fence>> {
         let order = FenceOrder { fence: fence.0 };
         let sent = self.control.post(format!("{address}/v1/fence")).send_json(&order).await;
@@ -115,29 +115,29 @@
         }
     }
 
-    /// Gives an order. `weights` is the adapter's place in the weight store.
+    /// Sends an order. `weights` is the location of the adapter in the weight store.
     pub async fn order(&self, address: &str, order: &Order, weights: &str) -> OrderResult {
         let lora_name = order.adapter.to_string();
         match order.kind {
             OrderKind::Load => {
                 let body = LoadOrder { lora_name, lora_path: weights.to_owned() };
-                self.give(address, "load_lora_adapter", order.fence, &body).await
+                self.send_order(address, "load_lora_adapter", order.fence, &body).await
             }
             OrderKind::Unload => {
                 let body = UnloadOrder { lora_name };
-                self.give(address, "unload_lora_adapter", order.fence, &body).await
+                self.send_order(address, "unload_lora_adapter", order.fence, &body).await
             }
         }
     }
 
-    async fn give(
+    async fn send_order(
         &self,
         address: &str,
         call: &str,
         fence: Fence,
         body: &impl Serialize,
     ) -> OrderResult {
-        let request = self.control.post(format!("{address}/v1/{call}")).timeout(ORDER);
+        let request = self.control.post(format!("{address}/v1/{call}")).timeout(ORDER_TIMEOUT);
         let sent = request.insert_header((headers::FENCE, fence.to_string())).send_json(body);
         let mut response = match sent.await {
             Ok(response) => response,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Starts a request and opens its stream.
+    /// Starts a request and opens its response stream.
     pub async fn open(&self, address: &str, call: &Call) -> Result<ChunkStream, OpenError> {
         let url = format!("{address}{}", call.endpoint.path());
         let priority = match call.class {
@@ -172,10 +172,10 @@
         if response.status().is_success() {
             return Ok(ChunkStream::new(response, ChunkCheck::new(call.id)));
         }
-        Err(refused(response).await)
+        Err(rejection(response).await)
     }
 
-    /// Opens the stream of a request again where `check` stands.
+    /// Reopens the stream of a request at the position that `check` expects.
     pub async fn resume(
         &self,
         address: &str,
@@ -191,14 +191,14 @@
         Err(ResumeError::Gone)
     }
 
-    /// Cancels a request. True once the engine certainly runs nothing of it.
+    /// Cancels a request. Returns true if the engine has certainly stopped running it.
     pub async fn cancel(&self, address: &str, id: ReservationId) -> bool {
         let sent = self.control.delete(format!("{address}/v1/streams/{id}")).send().await;
         sent.is_ok_and(|response| response.status().is_success())
     }
 }
 
-/// Only a connection that never came about proves that the request did not run.
+/// Only a connection that was never established proves that the request did not run.
 fn open_error(error: SendRequestError) -> OpenError {
     let why = error.to_string();
     match certainly_not_sent(&error) {
@@ -207,16 +207,16 @@
     }
 }
 
-/// An engine's refusal counts as not run only if the engine says so.
-async fn refused<S>(mut response: awc::ClientResponse<S>) -> OpenError
+/// A rejection counts as not run only if the engine states it in the `portrack-run` header.
+async fn rejection<S>(mut response: awc::ClientResponse<S>) -> OpenError
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>>,
 {
     let status = response.status();
-    let said_no = response.headers().get(headers::RUN).is_some_and(|value| value == "no");
+    let not_run = response.headers().get(headers::RUN).is_some_and(|value| value == "no");
     let body = response.body().limit(MAX_STATUS).await.unwrap_or_default();
     let why = format!("{status}: {}", String::from_utf8_lossy(&body));
-    if !said_no {
+    if !not_run {
         return OpenError::Unknown { why };
     }
     match status {
--- a/crates/portrack/src/engine/mod.rs
+++ b/crates/portrack/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Model engines: the calls that portrack makes and the streams that come back.
+//! Model engines: the calls to them and their response streams.
 
 mod call;
 mod chunk;
--- a/crates/portrack/src/engine/status.rs
+++ b/crates/portrack/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! The engine's own messages, as JSON.
+//! JSON messages of the engine's API.
 
 use crate::owner::{Report, Running};
 use crate::types::{AdapterVersion, Fence, ReservationId, Time};
@@ -13,25 +13,25 @@
     pub adapter: String,
 }
 
-/// Answer to `GET /v1/status`.
+/// Response to `GET /v1/status`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Changes with every restart.
     pub epoch: u64,
     /// The highest fence accepted.
     pub fence: u64,
-    /// True once it is leaving.
+    /// Whether the engine is shutting down.
     #[serde(default)]
     pub leaving: bool,
-    /// Adapter slots.
+    /// Number of adapter slots.
     pub slots: usize,
-    /// Requests that one step can carry.
+    /// Largest number of requests in one batch.
     pub batch: usize,
     /// Adapters in slots.
     pub loaded: Vec<String>,
     /// Adapters that are being loaded.
     pub loading: Vec<String>,
-    /// Requests that run.
+    /// Running requests.
     pub running: Vec<RunningStatus>,
 }
 
@@ -42,7 +42,7 @@
     pub fence: u64,
 }
 
-/// Answer to a fence order, and to any order that came with too low a fence.
+/// Response to a fence order, and to any order whose fence is too low.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceAnswer {
     /// The highest fence accepted.
@@ -54,7 +54,7 @@
 pub struct LoadOrder {
     /// `adapter@version`
     pub lora_name: String,
-    /// Where the weight store keeps it.
+    /// Location of the adapter in the weight store.
     pub lora_path: String,
 }
 
@@ -66,8 +66,8 @@
 }
 
 impl Status {
-    /// The report that an owner takes. Names that are no `adapter@version`, such as adapters
-    /// somebody loaded by hand, are left out.
+    /// Converts the status to a report for the owner. Names not of the form `adapter@version`, such
+    /// as adapters loaded by hand, are left out.
     pub fn report(&self, asked_at: Time) -> Report {
         let adapters = |names: &[String]| -> Vec<AdapterVersion> {
             names.iter().filter_map(|name| name.parse().ok()).collect()
--- a/crates/portrack/src/engine/stream.rs
+++ b/crates/portrack/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of chunks from an engine.
+//! Streams of chunks from an engine.
 
 use super::{Chunk, ChunkCheck, ChunkVerdict};
 use crate::types::ReservationId;
@@ -9,13 +9,13 @@
 use snafu::Snafu;
 use std::time::Duration;
 
-/// An engine that sends nothing for this long is taken for lost.
-const SILENCE: Duration = Duration::from_secs(30);
+/// A stream that receives nothing for this long counts as broken.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a stream stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum StreamError {
-    /// The connection broke, or stayed silent.
+    /// The connection broke or was idle for too long.
     #[snafu(display("the connection to the engine broke"))]
     Broken,
     /// Chunks are missing.
@@ -23,7 +23,7 @@
     Gap,
 }
 
-/// Yields each chunk of one request once and in order.
+/// Yields each chunk of one request exactly once and in order.
 pub struct ChunkStream {
     events: LocalBoxStream<'static, Result<Event, StreamError>>,
     check: ChunkCheck,
@@ -31,7 +31,7 @@
 }
 
 impl ChunkStream {
-    /// Reads server-sent events from `bytes`, continuing where `check` stands.
+    /// Reads server-sent events from `bytes`, continuing at the position that `check` expects.
     pub fn new<E>(
         bytes: impl Stream<Item = Result<Bytes, E>> + 'static,
         check: ChunkCheck,
@@ -41,13 +41,13 @@
         Self { events: events.boxed_local(), check, dropped: 0 }
     }
 
-    /// The next chunk. A stream that ends without its end mark is broken.
+    /// Returns the next chunk. A stream that ends without `[DONE]` is broken.
     pub async fn next(&mut self) -> Result<Chunk, StreamError> {
         loop {
-            let next = actix_rt::time::timeout(SILENCE, self.events.next()).await;
+            let next = actix_rt::time::timeout(IDLE_TIMEOUT, self.events.next()).await;
             let event = next.ok().flatten().ok_or(StreamError::Broken)??;
             let position = self.check.next();
-            match self.check.judge(&event.id) {
+            match self.check.check_event(&event.id) {
                 ChunkVerdict::Take => return Ok(Chunk { position, data: event.data }),
                 ChunkVerdict::Repeated | ChunkVerdict::Foreign => self.dropped += 1,
                 ChunkVerdict::Gap => return Err(StreamError::Gap),
@@ -55,17 +55,17 @@
         }
     }
 
-    /// Chunks dropped because they were repeated or foreign.
+    /// Number of chunks dropped because they were repeated or of another request.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// The request.
+    /// The id of the request.
     pub fn id(&self) -> ReservationId {
         self.check.id()
     }
 
-    /// Where the stream stands, for resuming it.
+    /// Returns the state of the check, for resuming the stream.
     pub fn into_check(self) -> ChunkCheck {
         self.check
     }
--- a/crates/portrack/src/limits/breaker.rs
+++ b/crates/portrack/src/limits/breaker.rs
@@ -1,4 +1,4 @@
-//! Breakers: backend servers that keep failing are left alone for a while.
+//! Circuit breakers: backend servers that fail repeatedly are avoided for a while.
 
 use crate::types::{EngineName, Time};
 use std::collections::BTreeMap;
@@ -6,18 +6,18 @@
 
 /// When a breaker opens and closes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Patience {
-    /// Failures in a row that open it.
+pub struct BreakerConfig {
+    /// Consecutive failures that open the breaker.
     pub failures: u32,
-    /// How long it stays open the first time; doubles with each further time.
+    /// Time that it stays open at first; doubles each time it opens again.
     pub open_for: Duration,
-    /// The longest it stays open.
+    /// Upper bound of the time that it stays open.
     pub open_cap: Duration,
-    /// Of the servers there are, this share stays in use whatever happens, in percent.
+    /// Minimum share of servers that stay in use even if their breakers are open, in percent.
     pub floor_percent: usize,
 }
 
-impl Default for Patience {
+impl Default for BreakerConfig {
     fn default() -> Self {
         Self {
             failures: 3,
@@ -35,50 +35,51 @@
     open_until: Option<Time>,
 }
 
-/// One breaker for each backend server.
+/// The circuit breakers of all backend servers.
 #[derive(Debug, Clone, Default)]
 pub struct Breakers {
-    patience: Patience,
+    config: BreakerConfig,
     all: BTreeMap<EngineName, Breaker>,
 }
 
 impl Breakers {
-    /// Breakers that are all closed.
-    pub fn new(patience: Patience) -> Self {
-        Self { patience, all: BTreeMap::new() }
+    /// Creates a set in which every breaker is closed.
+    pub fn new(config: BreakerConfig) -> Self {
+        Self { config, all: BTreeMap::new() }
     }
 
-    /// The server answered.
+    /// Records a success, which closes the breaker.
     pub fn success(&mut self, server: &EngineName) {
         self.all.remove(server);
     }
 
-    /// The server failed.
+    /// Records a failure.
     pub fn failure(&mut self, now: Time, server: &EngineName) {
-        let patience = &self.patience;
+        let config = &self.config;
         let breaker = self.all.entry(server.clone()).or_default();
         breaker.failures += 1;
-        if breaker.failures < patience.failures {
+        if breaker.failures < config.failures {
             return;
         }
         let factor = 2_u32.saturating_pow(breaker.times_open);
-        let span = patience.open_for.saturating_mul(factor).min(patience.open_cap);
+        let span = config.open_for.saturating_mul(factor).min(config.open_cap);
         breaker.open_until = Some(now + span);
         breaker.times_open += 1;
         breaker.failures = 0;
     }
 
-    /// True if the server is to be left alone now.
+    /// Whether the breaker of this server is open.
     pub fn is_open(&self, now: Time, server: &EngineName) -> bool {
         let until = self.all.get(server).and_then(|breaker| breaker.open_until);
         until.is_some_and(|until| now < until)
     }
 
-    /// The servers to use: those that are not left alone, but never fewer than the floor.
+    /// Returns the servers with closed breakers. If these are fewer than the minimum share, adds those
+    /// whose breakers close first.
     pub fn usable(&self, now: Time, servers: &[EngineName]) -> Vec<EngineName> {
         let mut closed: Vec<EngineName> =
             servers.iter().filter(|s| !self.is_open(now, s)).cloned().collect();
-        let floor = (servers.len() * self.patience.floor_percent).div_ceil(100);
+        let floor = (servers.len() * self.config.floor_percent).div_ceil(100);
         if closed.len() >= floor {
             return closed;
         }
--- a/crates/portrack/src/limits/budget.rs
+++ b/crates/portrack/src/limits/budget.rs
@@ -1,9 +1,9 @@
-//! Retries as a share of requests.
+//! Limits retries to a share of requests.
 
-/// Requests' worth of retries that may be saved up.
-const SAVED: f64 = 10.0;
+/// Largest number of unused retries that are kept.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
-/// Each request adds its share; each retry takes one away.
+/// Token bucket for retries: each request adds `share`, each retry takes 1.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: f64,
@@ -11,22 +11,22 @@
 }
 
 impl RetryBudget {
-    /// A full budget that allows `share` retries a request.
+    /// Creates a full budget that allows `share` retries per request.
     pub fn new(share: f64) -> Self {
-        Self { share, saved: SAVED }
+        Self { share, saved: MAX_SAVED_RETRIES }
     }
 
-    /// Takes a changed share.
+    /// Replaces the share.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Counts a request.
-    pub fn note_request(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED);
+    /// Adds the share of one request.
+    pub fn record_request(&mut self) {
+        self.saved = (self.saved + self.share).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry; returns false if none is left.
     pub fn take(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
--- a/crates/portrack/src/limits/mod.rs
+++ b/crates/portrack/src/limits/mod.rs
@@ -1,7 +1,7 @@
-//! Limits on retries and on backend servers that fail.
+//! Retry budget and circuit breakers.
 
 mod breaker;
 mod budget;
 
-pub use breaker::{Breakers, Patience};
+pub use breaker::{BreakerConfig, Breakers};
 pub use budget::RetryBudget;
--- a/crates/portrack/src/loads/choice.rs
+++ b/crates/portrack/src/loads/choice.rs
@@ -1,43 +1,44 @@
-//! Which planner to ask, when the first one is silent.
+//! Selects the load planner to ask; planners that do not reply are skipped.
 
 use crate::types::{NodeName, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A planner that says nothing for this long is passed over.
-const PATIENCE: Duration = Duration::from_millis(1_200);
-/// For how long it is passed over.
-const PASS_OVER: Duration = Duration::from_secs(30);
+/// A planner that sends no reply for this long is skipped.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// How long an unresponsive planner is skipped.
+const SKIP_FOR: Duration = Duration::from_secs(30);
 
-/// Passes over planners that do not answer. Members of other halls are slow to be called dead, and
-/// loads must not wait for that; two planners at a time only make loads slower.
+/// Selects a load planner and skips those that do not reply. Members of other halls are declared
+/// dead only after a long time, and loads must not wait for that. Two planners at the same time are
+/// safe: they only make loads slower.
 #[derive(Debug, Clone, Default)]
-pub struct PlannerChoice {
+pub struct PlannerSelector {
     asked: Option<(NodeName, Time)>,
-    passed_over: BTreeMap<NodeName, Time>,
+    skipped: BTreeMap<NodeName, Time>,
 }
 
-impl PlannerChoice {
-    /// The planner to ask now, of the candidates in their order.
+impl PlannerSelector {
+    /// Returns the planner to ask now; `ranked` lists the candidates in order of preference.
     pub fn choose(&mut self, now: Time, ranked: &[NodeName]) -> Option<NodeName> {
-        self.passed_over.retain(|_, until| now < *until);
-        if let Some((silent, since)) = &self.asked
-            && now.since(*since) >= PATIENCE
+        self.skipped.retain(|_, until| now < *until);
+        if let Some((unresponsive, since)) = &self.asked
+            && now.since(*since) >= REPLY_TIMEOUT
         {
-            self.passed_over.insert(silent.clone(), now + PASS_OVER);
+            self.skipped.insert(unresponsive.clone(), now + SKIP_FOR);
             self.asked = None;
         }
-        let usable = ranked.iter().find(|node| !self.passed_over.contains_key(*node));
+        let usable = ranked.iter().find(|node| !self.skipped.contains_key(*node));
         let chosen = usable.or(ranked.first())?.clone();
-        let other = self.asked.as_ref().is_none_or(|(node, _)| *node != chosen);
-        if other {
+        let is_new = self.asked.as_ref().is_none_or(|(node, _)| *node != chosen);
+        if is_new {
             self.asked = Some((chosen.clone(), now));
         }
         Some(chosen)
     }
 
-    /// A planner has said something.
-    pub fn heard(&mut self, from: &NodeName) {
+    /// Records a reply from a planner.
+    pub fn on_reply(&mut self, from: &NodeName) {
         if self.asked.as_ref().is_some_and(|(node, _)| node == from) {
             self.asked = None;
         }
--- a/crates/portrack/src/loads/mod.rs
+++ b/crates/portrack/src/loads/mod.rs
@@ -1,9 +1,9 @@
-//! The weight store's budget: who may load next.
+//! Load permits: limits adapter loads to the weight store's budget.
 
 mod budget;
 mod choice;
 mod planner;
 
 pub use budget::Budget;
-pub use choice::PlannerChoice;
+pub use choice::PlannerSelector;
 pub use planner::LoadPlanner;
--- a/crates/portrack/src/loads/planner.rs
+++ b/crates/portrack/src/loads/planner.rs
@@ -1,4 +1,5 @@
-//! Hands out load permits within the weight store's budget. Soft: losing it only slows loads.
+//! Issues load permits within the weight store's budget. The state is soft: losing it only delays
+//! loads.
 
 use super::Budget;
 use crate::types::{NodeName, Time};
@@ -6,21 +7,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An ask that is not repeated for this long is forgotten.
-const ASK_TTL: Duration = Duration::from_secs(5);
-/// Permits that may be given without a pause, in seconds of the rate.
+/// A request that is not repeated for this long is dropped.
+const REQUEST_TTL: Duration = Duration::from_secs(5);
+/// Largest burst of permits, in seconds of the configured rate.
 const BURST_SECONDS: f64 = 1.0;
 
 #[derive(Debug, Clone)]
-struct Asked {
+struct PendingRequest {
     from: NodeName,
     ask: PermitAsk,
-    since: Time,
-    seen: Time,
+    first_seen: Time,
+    last_seen: Time,
 }
 
 #[derive(Debug, Clone)]
-struct Given {
+struct IssuedPermit {
     to: NodeName,
     at: Time,
 }
@@ -31,58 +32,58 @@
     budget: Budget,
     tokens: f64,
     filled_at: Time,
-    asked: BTreeMap<PermitRef, Asked>,
-    given: BTreeMap<PermitRef, Given>,
+    pending: BTreeMap<PermitRef, PendingRequest>,
+    issued: BTreeMap<PermitRef, IssuedPermit>,
 }
 
 impl LoadPlanner {
-    /// A planner that starts with one second's permits.
+    /// Creates a planner with a full burst of permits.
     pub fn new(budget: Budget, now: Time) -> Self {
         let tokens = budget.per_second * BURST_SECONDS;
-        Self { budget, tokens, filled_at: now, asked: BTreeMap::new(), given: BTreeMap::new() }
+        Self { budget, tokens, filled_at: now, pending: BTreeMap::new(), issued: BTreeMap::new() }
     }
 
-    /// Takes a changed budget.
+    /// Replaces the budget.
     pub fn set_budget(&mut self, budget: Budget) {
         self.budget = budget;
     }
 
-    /// Takes an ask in; a repeated one is granted again if it was granted before.
+    /// Adds or refreshes a request. A request that already has a permit is granted again.
     pub fn ask(&mut self, now: Time, from: NodeName, ask: PermitAsk) -> Vec<(NodeName, PermitRef)> {
-        if let Some(given) = self.given.get_mut(&ask.load) {
-            given.to = from.clone();
+        if let Some(issued) = self.issued.get_mut(&ask.load) {
+            issued.to = from.clone();
             return vec![(from, ask.load)];
         }
         let load = ask.load.clone();
-        let since = self.asked.get(&load).map_or(now, |asked| asked.since);
-        self.asked.insert(load, Asked { from, ask, since, seen: now });
+        let first_seen = self.pending.get(&load).map_or(now, |pending| pending.first_seen);
+        self.pending.insert(load, PendingRequest { from, ask, first_seen, last_seen: now });
         self.plan(now)
     }
 
-    /// Takes a permit or an ask back.
+    /// Removes a permit or a pending request.
     pub fn done(&mut self, now: Time, load: &PermitRef) -> Vec<(NodeName, PermitRef)> {
-        self.asked.remove(load);
-        self.given.remove(load);
+        self.pending.remove(load);
+        self.issued.remove(load);
         self.plan(now)
     }
 
-    /// Gives as many permits as the budget allows, the most urgent first.
+    /// Issues as many permits as the budget allows, the most urgent first.
     pub fn plan(&mut self, now: Time) -> Vec<(NodeName, PermitRef)> {
         self.refill(now);
-        self.asked.retain(|_, asked| now.since(asked.seen) < ASK_TTL);
+        self.pending.retain(|_, pending| now.since(pending.last_seen) < REQUEST_TTL);
         let ttl = self.budget.permit_ttl;
-        self.given.retain(|_, given| now.since(given.at) < ttl);
+        self.issued.retain(|_, issued| now.since(issued.at) < ttl);
         let mut granted = Vec::new();
-        while self.given.len() < self.budget.at_once && self.tokens >= 1.0 {
+        while self.issued.len() < self.budget.at_once && self.tokens >= 1.0 {
             let Some(load) = self.most_urgent(now) else {
                 break;
             };
-            let Some(asked) = self.asked.remove(&load) else {
+            let Some(pending) = self.pending.remove(&load) else {
                 break;
             };
             self.tokens -= 1.0;
-            self.given.insert(load.clone(), Given { to: asked.from.clone(), at: now });
-            granted.push((asked.from, load));
+            self.issued.insert(load.clone(), IssuedPermit { to: pending.from.clone(), at: now });
+            granted.push((pending.from, load));
         }
         granted
     }
@@ -94,23 +95,24 @@
         self.filled_at = now;
     }
 
-    /// Waiting time times weight decides, so that one request is not put off for ever.
+    /// Orders by waiting time multiplied by weight, so that no request starves.
     fn most_urgent(&self, now: Time) -> Option<PermitRef> {
-        let urgency = |asked: &Asked| {
-            let waited = u64::from(asked.ask.waited_ms) + now.since(asked.seen).as_millis() as u64;
-            (waited + 1) * u64::from(asked.ask.weight.max(1))
+        let urgency = |pending: &PendingRequest| {
+            let waited =
+                u64::from(pending.ask.waited_ms) + now.since(pending.last_seen).as_millis() as u64;
+            (waited + 1) * u64::from(pending.ask.weight.max(1))
         };
-        let most = self.asked.iter().max_by_key(|(_, asked)| urgency(asked));
+        let most = self.pending.iter().max_by_key(|(_, pending)| urgency(pending));
         most.map(|(load, _)| load.clone())
     }
 
-    /// Permits that are out.
+    /// Number of permits in use.
     pub fn given_count(&self) -> usize {
-        self.given.len()
+        self.issued.len()
     }
 
-    /// Asks that wait.
+    /// Number of pending requests.
     pub fn asked_count(&self) -> usize {
-        self.asked.len()
+        self.pending.len()
     }
 }
--- a/crates/portrack/src/node/claims.rs
+++ b/crates/portrack/src/node/claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: claimed for own requests, kept for others.
+//! Claims of idempotency keys for this node's requests, and the keys kept for other nodes.
 
 use super::{Effect, Node};
 use crate::once::{KeeperOutput, USE_WITHIN};
@@ -8,12 +8,12 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Between repetitions of a claim.
-const REPEAT_AFTER: Duration = Duration::from_millis(100);
-/// Asks of the first keeper before the second is asked.
-const ASKS_OF_FIRST: u32 = 4;
-/// A claim without a verdict is given up after this.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(800);
+/// Interval between repetitions of a claim.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Attempts at the first keeper before the second is asked.
+const FIRST_KEEPER_ATTEMPTS: u32 = 4;
+/// A claim without a verdict fails after this.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(800);
 
 #[derive(Debug, Clone)]
 pub(super) struct PendingClaim {
@@ -31,8 +31,8 @@
         let claim = KeyClaim { key, request, entry: self.me.clone() };
         let pending = PendingClaim {
             claim: claim.clone(),
-            next: now + REPEAT_AFTER,
-            until: now + GIVE_UP_AFTER,
+            next: now + RETRY_INTERVAL,
+            until: now + CLAIM_TIMEOUT,
             use_by: now + USE_WITHIN,
             asked: 0,
             settled: false,
@@ -44,10 +44,11 @@
         }
     }
 
-    /// After some asks without an answer the second keeper may have become the first.
+    /// After `FIRST_KEEPER_ATTEMPTS` without an answer the claim goes to the second keeper, which may
+    /// have become the first.
     fn send_claim(&mut self, claim: KeyClaim, asked: u32, out: &mut Vec<Effect>) {
         let (first, second) = self.keeper.keepers(claim.key);
-        let keeper = if asked >= ASKS_OF_FIRST { second.or(first) } else { first };
+        let keeper = if asked >= FIRST_KEEPER_ATTEMPTS { second.or(first) } else { first };
         if let Some(keeper) = keeper {
             self.send(keeper, Message::KeyClaim(claim), out);
         }
@@ -61,7 +62,7 @@
             if now >= pending.until {
                 late.push(*token);
             } else if now >= pending.next {
-                pending.next = now + REPEAT_AFTER;
+                pending.next = now + RETRY_INTERVAL;
                 pending.asked += 1;
                 repeat.push((pending.claim.clone(), pending.asked));
             }
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Ends a claim. One that did not get the key forgets it everywhere.
+    /// Ends a claim. A claim that did not get the key is removed at both keepers.
     fn settle(&mut self, token: Token, verdict: KeyVerdict, out: &mut Vec<Effect>) {
         let Some(pending) = self.claims.get_mut(&token) else {
             return;
@@ -132,7 +133,8 @@
         }
     }
 
-    /// The keeper's word; one that comes late, as after a pause, is not relied on. `NotKeeper` is not final: the claim is repeated to whoever is next.
+    /// Handles a keeper's reply. A reply after the timeout, for example after a pause of this process,
+    /// is not trusted. `NotKeeper` is not final: the claim is repeated to the next keeper.
     pub(super) fn key_reply(&mut self, now: Time, reply: &KeyReply, out: &mut Vec<Effect>) {
         if reply.verdict == KeyVerdict::NotKeeper {
             return;
--- a/crates/portrack/src/node/effect.rs
+++ b/crates/portrack/src/node/effect.rs
@@ -1,24 +1,24 @@
-//! What a node wants done.
+//! The effects that a node asks its daemon to execute.
 
 use crate::owner::Order;
 use crate::reserve::{Grant, Token};
 use crate::types::{EngineName, Fence, NodeName, Refusal, Time};
 use crate::wire::{KeyVerdict, Message};
 
-/// Something for an engine.
+/// A task at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineTask {
-    /// Ask for a report.
+    /// Request a status report.
     Poll,
-    /// Ask it to accept this fence.
+    /// Ask the engine to accept this fence.
     RaiseFence(Fence),
-    /// Give it an order.
+    /// Send an order.
     Order(Order),
-    /// This node owns it no more; what holds it in the key-value service is to be given up.
+    /// This node no longer owns the engine: release its lock in the key-value service.
     LetGo,
 }
 
-/// Something to do.
+/// An effect to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send a message to a daemon.
@@ -28,18 +28,18 @@
         /// The message.
         body: Message,
     },
-    /// Turn to an engine that this node owns.
+    /// Run a task at an engine that this node owns.
     Engine {
         /// The engine.
         engine: EngineName,
-        /// What to do there.
+        /// The task.
         task: EngineTask,
     },
     /// Start a request at its engine.
     Start {
         /// The request.
         token: Token,
-        /// Its place.
+        /// Its grant.
         grant: Grant,
     },
     /// Answer a caller with a refusal.
@@ -49,13 +49,13 @@
         /// The refusal.
         refusal: Refusal,
     },
-    /// An idempotency key is settled.
+    /// The claim of an idempotency key has ended.
     KeySettled {
         /// The request.
         token: Token,
-        /// Whether it may be sent.
+        /// The outcome: whether the request may be sent.
         verdict: KeyVerdict,
-        /// It must be handed to the connection before this.
+        /// The request must be sent before this time.
         use_by: Time,
     },
 }
--- a/crates/portrack/src/node/engines.rs
+++ b/crates/portrack/src/node/engines.rs
@@ -1,4 +1,4 @@
-//! The engines this node owns.
+//! The engines that this node owns.
 
 use super::{Effect, EngineTask, Node};
 use crate::owner::{Answer, Ask, End, EngineOwner, Event, Lock, Output, Verdict};
@@ -6,7 +6,7 @@
 use crate::types::{EngineName, Instance, Reason, ReservationId, Time};
 use crate::wire::{Message, PermitAsk, PermitRef};
 
-/// Retry hint of a node that does not own the engine, in milliseconds.
+/// Retry delay that a node suggests if it does not own the engine, in milliseconds.
 const NOT_OWNER_RETRY_MS: u32 = 200;
 
 impl Node {
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Takes engines over whose highest live member is this node, and lets go of the others.
+    /// Takes over the engines for which this node is the highest-ranked live member, and releases the
+    /// others.
     pub(super) fn update_owners(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.ownership.update(&self.members, &self.view) {
             return;
@@ -47,7 +48,7 @@
             .cloned()
             .collect();
         for engine in lost {
-            self.let_go(now, &engine, out);
+            self.release_engine(now, &engine, out);
         }
         for (engine, lock) in mine {
             let tuning = self.tunables.owner.clone();
@@ -57,11 +58,11 @@
         }
     }
 
-    fn let_go(&mut self, now: Time, engine: &EngineName, out: &mut Vec<Effect>) {
+    fn release_engine(&mut self, now: Time, engine: &EngineName, out: &mut Vec<Effect>) {
         let Some(mut owner) = self.owners.remove(engine) else {
             return;
         };
-        self.pushed.remove(engine);
+        self.sent_holdings.remove(engine);
         let outputs = owner.stop(now);
         self.owner_outputs(now, engine, outputs, out);
         out.push(Effect::Engine { engine: engine.clone(), task: EngineTask::LetGo });
@@ -114,7 +115,7 @@
             Output::AskPermit { adapter, waited_ms, weight } => {
                 let load = PermitRef { engine: engine.clone(), adapter };
                 let ask = PermitAsk { load, waited_ms, weight };
-                return self.ask_planner(now, ask, out);
+                return self.request_permit(now, ask, out);
             }
             Output::PermitDone(adapter) => {
                 let load = PermitRef { engine: engine.clone(), adapter };
--- a/crates/portrack/src/node/input.rs
+++ b/crates/portrack/src/node/input.rs
@@ -1,4 +1,4 @@
-//! What a node takes in.
+//! The inputs of a node.
 
 use crate::membership::Peer;
 use crate::owner::Event;
@@ -7,22 +7,22 @@
 use crate::types::{EngineName, Instance, ReservationId};
 use crate::wire::{Message, SettingsMark};
 
-/// Something that happened.
+/// An event that a node handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed; expected every 50 ms or so.
+    /// Time has passed; expected about every 50 ms.
     Tick,
     /// The platform's node list.
     Servers(Vec<BackendServer>),
-    /// Daemons to know of.
+    /// Daemons to add to the members.
     Peers(Vec<Peer>),
-    /// All daemons by the platform's node list: the dead that it no longer names are forgotten.
+    /// All daemons in the platform's node list. Dead members that are not in it are removed.
     Listed(Vec<Peer>),
     /// The settings in force, and whether the platform answers.
     Settings {
-        /// Which settings.
+        /// The revision and digest of the settings.
         mark: SettingsMark,
-        /// Whether the key-value service answered lately.
+        /// Whether the key-value service answered recently.
         platform: bool,
     },
     /// A message from another daemon.
@@ -32,21 +32,21 @@
         /// The message.
         body: Message,
     },
-    /// An engine's word to its owner.
+    /// An event of an engine, for its owner.
     Engine {
         /// The engine.
         engine: EngineName,
-        /// Its word.
+        /// The event.
         event: Event,
     },
-    /// A request wants a place.
+    /// A request needs a reservation on an engine.
     Begin {
         /// The request.
         token: Token,
-        /// What it wants.
+        /// The requirements.
         spec: Spec,
     },
-    /// The engine certainly did not run the granted request: find another place.
+    /// The engine certainly did not run the granted request: reserve again.
     NotRun {
         /// The request.
         token: Token,
@@ -54,10 +54,10 @@
         engine: EngineName,
         /// The reservation.
         id: ReservationId,
-        /// True if the engine said that it does not hold the adapter.
+        /// Whether the engine reported that the adapter is not loaded.
         missing: bool,
     },
-    /// A granted request is over.
+    /// A granted request has ended.
     Finished {
         /// The request.
         token: Token,
@@ -65,28 +65,28 @@
         engine: EngineName,
         /// The reservation.
         id: ReservationId,
-        /// True if the engine certainly runs nothing of it.
+        /// Whether the engine has certainly stopped running it.
         ended: bool,
     },
-    /// The caller is gone before the request started.
+    /// The caller disconnected before the request started.
     Cancel(Token),
-    /// A request that must not run twice wants its key.
+    /// Claims the idempotency key of a request that must not run twice.
     Claim {
         /// The request.
         token: Token,
         /// The key's hash.
         key: u128,
     },
-    /// The request with this key was certainly not sent.
+    /// The request with this key was certainly not sent: free the key.
     FreeKey {
         /// The request.
         token: Token,
     },
-    /// The request with this key is over: its claim stays remembered.
+    /// The request with this key has ended: its keepers keep the key.
     KeepKey {
         /// The request.
         token: Token,
     },
-    /// This node begins its planned stop.
+    /// Begins the planned stop of this node.
     Leave,
 }
--- a/crates/portrack/src/node/machine.rs
+++ b/crates/portrack/src/node/machine.rs
@@ -1,12 +1,12 @@
-//! The node's state and the dispatch of its inputs.
+//! The state of a node and the dispatch of its inputs.
 
 use super::claims::PendingClaim;
 use super::ownership::Ownership;
 use super::releases::PendingRelease;
-use super::takeovers::Clearing;
-use super::told::Told;
+use super::reported_loads::ReportedLoads;
+use super::takeovers::PendingTakeover;
 use super::{Effect, Input, Tunables};
-use crate::loads::{LoadPlanner, PlannerChoice};
+use crate::loads::{LoadPlanner, PlannerSelector};
 use crate::membership::{Membership, Peer};
 use crate::once::Keeper;
 use crate::owner::{End, EngineOwner};
@@ -18,10 +18,10 @@
 use rand::rngs::SmallRng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Prompt prefixes remembered by one entry node.
+/// Largest number of prompt prefixes stored by an entry node.
 const PREFIX_CAPACITY: usize = 16_384;
 
-/// The decisions of one daemon.
+/// The state machine that makes the decisions of one daemon.
 #[derive(Debug, Clone)]
 pub struct Node {
     pub(super) me: Instance,
@@ -31,14 +31,14 @@
     pub(super) view: View,
     pub(super) owners: BTreeMap<EngineName, EngineOwner>,
     pub(super) ownership: Ownership,
-    pub(super) pushed: BTreeMap<EngineName, u32>,
-    pub(super) told: Told,
-    pub(super) clearing: BTreeMap<EngineName, Clearing>,
+    pub(super) sent_holdings: BTreeMap<EngineName, u32>,
+    pub(super) reported_loads: ReportedLoads,
+    pub(super) pending_takeovers: BTreeMap<EngineName, PendingTakeover>,
     pub(super) planner: LoadPlanner,
-    pub(super) planners: PlannerChoice,
+    pub(super) planners: PlannerSelector,
     pub(super) keeper: Keeper,
     pub(super) requests: BTreeMap<Token, Request>,
-    pub(super) seeking: BTreeMap<ReservationId, Token>,
+    pub(super) reserving: BTreeMap<ReservationId, Token>,
     pub(super) started: BTreeSet<ReservationId>,
     pub(super) releases: BTreeMap<ReservationId, PendingRelease>,
     pub(super) claims: BTreeMap<Token, PendingClaim>,
@@ -50,25 +50,25 @@
 }
 
 impl Node {
-    /// A node that knows nothing but itself.
+    /// Creates a node that knows only itself.
     pub fn new(me: Peer, incarnation: u64, tunables: Tunables, seed: u64, now: Time) -> Self {
         let instance = Instance { node: me.node.clone(), incarnation };
         Self {
             keeper: Keeper::new(me.node.clone(), tunables.key_window),
             members: Membership::new(me, tunables.timing.clone(), now),
             planner: LoadPlanner::new(tunables.budget, now),
-            planners: PlannerChoice::default(),
+            planners: PlannerSelector::default(),
             fences: FenceMaker::new(&instance, now),
             me: instance,
             tunables,
             view: View::default(),
             owners: BTreeMap::new(),
             ownership: Ownership::default(),
-            pushed: BTreeMap::new(),
-            told: Told::default(),
-            clearing: BTreeMap::new(),
+            sent_holdings: BTreeMap::new(),
+            reported_loads: ReportedLoads::default(),
+            pending_takeovers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            seeking: BTreeMap::new(),
+            reserving: BTreeMap::new(),
             started: BTreeSet::new(),
             releases: BTreeMap::new(),
             claims: BTreeMap::new(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes an input in and returns what is to be done, in order.
+    /// Handles an input and returns the effects to execute, in order.
     pub fn on(&mut self, now: Time, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         self.dispatch(now, input, &mut out);
@@ -133,10 +133,10 @@
 
     fn message(&mut self, now: Time, from: Instance, body: Message, out: &mut Vec<Effect>) {
         match body {
-            Message::Heartbeat(heartbeat) => self.heard(now, &from, heartbeat, out),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(now, &from, heartbeat, out),
             Message::Loads(loads) => self.take_loads(now, &from.node, loads, out),
             Message::Holdings(holdings) => self.view.holdings(holdings),
-            Message::HoldingsAsk(engine) => self.tell_holdings(&from.node, &engine, out),
+            Message::HoldingsAsk(engine) => self.send_holdings(&from.node, &engine, out),
             Message::Reserve { engine, ask } => self.reserve(now, from, &engine, ask, out),
             Message::Answer(answer) => self.answer(now, from, &answer, out),
             Message::Release { engine, id, end } => {
@@ -152,7 +152,7 @@
                 self.takeover_seen(from.node, &engine, fence);
             }
             Message::PermitAsk(ask) => self.permit_ask(now, from.node, ask, out),
-            Message::PermitSeen(_) => self.planners.heard(&from.node),
+            Message::PermitSeen(_) => self.planners.on_reply(&from.node),
             Message::PermitGrant(load) => self.permit_grant(now, from.node, load, out),
             Message::PermitDone(load) => self.permit_done(now, &load, out),
             Message::KeyClaim(claim) => self.key_claim(now, claim, out),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Sends a message; one to this node itself is taken in at the end of the same input.
+    /// Sends a message. A message to this node itself is handled at the end of the same input.
     pub(super) fn send(&mut self, to: NodeName, body: Message, out: &mut Vec<Effect>) {
         if to == self.me.node {
             self.local.push_back(body);
@@ -172,8 +172,8 @@
         out.push(Effect::Send { to, body });
     }
 
-    /// Takes changed settings.
-    pub fn retune(&mut self, tunables: Tunables) {
+    /// Applies changed settings.
+    pub fn set_tunables(&mut self, tunables: Tunables) {
         self.planner.set_budget(tunables.budget);
         self.keeper.set_window(tunables.key_window);
         for owner in self.owners.values_mut() {
@@ -182,22 +182,22 @@
         self.tunables = tunables;
     }
 
-    /// This daemon.
+    /// This daemon and its incarnation.
     pub fn me(&self) -> &Instance {
         &self.me
     }
 
-    /// The numbers in force.
+    /// The parameters in force.
     pub fn tunables(&self) -> &Tunables {
         &self.tunables
     }
 
-    /// Who is there.
+    /// The daemons of the cluster.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// What is known of the backend servers.
+    /// The known state of the backend servers.
     pub fn view(&self) -> &View {
         &self.view
     }
--- a/crates/portrack/src/node/members.rs
+++ b/crates/portrack/src/node/members.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what is sent and what is made of those that come.
+//! Sends and handles heartbeats, loads and holdings.
 
 use super::{Effect, Node};
 use crate::membership::Scope;
@@ -6,7 +6,7 @@
 use crate::types::{EngineName, Instance, NodeName, Time};
 use crate::wire::{Heartbeat, MemberState, Message};
 
-/// Engines in one datagram.
+/// Largest number of loads in one datagram.
 const LOADS_PER_DATAGRAM: usize = 24;
 
 impl Node {
@@ -25,8 +25,8 @@
         };
         let (remote, near): (Vec<_>, Vec<_>) = due.into_iter().partition(remote);
         if !near.is_empty() {
-            let news = self.told.news(&all);
-            self.send_loads(near, news, out);
+            let changed = self.reported_loads.changed_loads(&all);
+            self.send_loads(near, changed, out);
         }
         self.send_loads(remote, all, out);
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Loads of the owned engines; the own view takes them in on the way.
+    /// Returns the loads of the owned engines and updates this node's view with them.
     fn own_loads(&mut self, now: Time) -> Vec<Load> {
         let loads: Vec<Load> = self.owners.values().map(|owner| owner.load(now)).collect();
         for load in &loads {
@@ -64,7 +64,7 @@
         loads
     }
 
-    pub(super) fn heard(
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Time,
         from: &Instance,
@@ -99,20 +99,20 @@
         }
     }
 
-    pub(super) fn tell_holdings(&self, to: &NodeName, engine: &EngineName, out: &mut Vec<Effect>) {
+    pub(super) fn send_holdings(&self, to: &NodeName, engine: &EngineName, out: &mut Vec<Effect>) {
         let Some(owner) = self.owners.get(engine) else {
             return;
         };
         out.push(Effect::Send { to: to.clone(), body: Message::Holdings(owner.holdings()) });
     }
 
-    /// Tells everybody in the region which owned engines changed what they hold.
+    /// Sends the holdings of owned engines that changed to all reachable members of the region.
     pub(super) fn push_holdings(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mut changed = Vec::new();
         for (engine, owner) in &self.owners {
             let version = owner.holdings_version();
-            if self.pushed.get(engine) != Some(&version) {
-                self.pushed.insert(engine.clone(), version);
+            if self.sent_holdings.get(engine) != Some(&version) {
+                self.sent_holdings.insert(engine.clone(), version);
                 changed.push((owner.load(now), owner.holdings()));
             }
         }
@@ -131,8 +131,8 @@
     pub(super) fn leave(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.members.leave();
         self.update_owners(now, out);
-        let everyone: Vec<NodeName> =
+        let members: Vec<NodeName> =
             self.members.iter().map(|member| member.peer.node.clone()).collect();
-        self.send_heartbeats(now, everyone, out);
+        self.send_heartbeats(now, members, out);
     }
 }
--- a/crates/portrack/src/node/mod.rs
+++ b/crates/portrack/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One daemon's decisions, joined: everything between sockets, without them.
+//! The decision logic of one daemon, without I/O.
 //!
-//! The daemon, the fuzzers and any bench feed a [`Node`] with [`Input`]s and carry out its
-//! [`Effect`]s. A node holds no clock, no socket and no global randomness.
+//! The daemon, the fuzzers and the benchmarks feed a [`Node`] with [`Input`]s and execute its
+//! [`Effect`]s. A node has no clock, no socket and no global source of randomness.
 
 mod claims;
 mod effect;
@@ -12,9 +12,9 @@
 mod ownership;
 mod permits;
 mod releases;
+mod reported_loads;
 mod requests;
 mod takeovers;
-mod told;
 mod tunables;
 
 pub use effect::{Effect, EngineTask};
--- a/crates/portrack/src/node/ownership.rs
+++ b/crates/portrack/src/node/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns each engine of the region, worked out anew only when members or servers change.
+//! The owner of each engine of the region, recomputed only when members or servers change.
 
 use crate::membership::Membership;
 use crate::owner::Lock;
@@ -13,7 +13,7 @@
 }
 
 impl Ownership {
-    /// Brings the owners up to date. Returns false if nothing can have changed.
+    /// Recomputes the owners. Returns false if neither members nor servers have changed.
     pub(super) fn update(&mut self, members: &Membership, view: &View) -> bool {
         let now = Some((members.version(), view.version()));
         if self.seen == now {
@@ -34,7 +34,7 @@
         true
     }
 
-    /// The live owner of an engine.
+    /// Returns the live owner of an engine.
     pub(super) fn owner_of(&self, engine: &EngineName) -> Option<&NodeName> {
         self.owners.get(engine)
     }
--- a/crates/portrack/src/node/permits.rs
+++ b/crates/portrack/src/node/permits.rs
@@ -1,24 +1,24 @@
-//! Load permits: asked of the region's planner, or given if this node is it.
+//! Load permits: requested from the region's planner, and issued if this node is the planner.
 
 use super::{Effect, Node};
 use crate::owner::Event;
 use crate::types::{NodeName, Time};
 use crate::wire::{Message, PermitAsk, PermitRef};
 
-/// Planners that hear of a permit that is free again: the first and the one that stands in.
-const PLANNERS_TOLD: usize = 2;
+/// Planners notified of a returned permit: the first and its stand-in.
+const PLANNERS_NOTIFIED: usize = 2;
 
 impl Node {
-    pub(super) fn ask_planner(&mut self, now: Time, ask: PermitAsk, out: &mut Vec<Effect>) {
+    pub(super) fn request_permit(&mut self, now: Time, ask: PermitAsk, out: &mut Vec<Effect>) {
         let ranked = self.members.planners();
         if let Some(planner) = self.planners.choose(now, &ranked) {
             self.send(planner, Message::PermitAsk(ask), out);
         }
     }
 
-    /// Every planner that may have given the permit hears that it is free.
+    /// Returns a permit to every planner that may have issued it.
     pub(super) fn return_permit(&mut self, load: &PermitRef, out: &mut Vec<Effect>) {
-        for planner in self.members.planners().into_iter().take(PLANNERS_TOLD) {
+        for planner in self.members.planners().into_iter().take(PLANNERS_NOTIFIED) {
             self.send(planner, Message::PermitDone(load.clone()), out);
         }
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A permit that the owner has no use for any more goes straight back.
+    /// Passes a permit to the owner, or returns it if the owner no longer needs it.
     pub(super) fn permit_grant(
         &mut self,
         now: Time,
@@ -62,7 +62,7 @@
         load: PermitRef,
         out: &mut Vec<Effect>,
     ) {
-        self.planners.heard(&from);
+        self.planners.on_reply(&from);
         let wanted = self.owners.get(&load.engine).is_some_and(|owner| owner.wants(&load.adapter));
         if !wanted {
             return self.return_permit(&load, out);
--- a/crates/portrack/src/node/releases.rs
+++ b/crates/portrack/src/node/releases.rs
@@ -1,4 +1,4 @@
-//! Places given back: repeated until the owner has heard of it.
+//! Releases of reservations, repeated until the owner confirms them.
 
 use super::{Effect, Node};
 use crate::owner::End;
@@ -6,10 +6,10 @@
 use crate::wire::Message;
 use std::time::Duration;
 
-/// Between repetitions.
-const REPEAT_AFTER: Duration = Duration::from_millis(200);
-/// Repetitions before the engine's own reports are left to settle it.
-const REPETITIONS: u32 = 5;
+/// Interval between repetitions.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Repetitions before the release is left to the engine's own reports.
+const MAX_RETRIES: u32 = 5;
 
 #[derive(Debug, Clone)]
 pub(super) struct PendingRelease {
@@ -29,8 +29,8 @@
         out: &mut Vec<Effect>,
     ) {
         self.started.remove(&id);
-        let next = now + REPEAT_AFTER;
-        let pending = PendingRelease { engine: engine.clone(), end, next, left: REPETITIONS };
+        let next = now + RETRY_INTERVAL;
+        let pending = PendingRelease { engine: engine.clone(), end, next, left: MAX_RETRIES };
         self.releases.insert(id, pending);
         self.send_release(engine, id, end, out);
     }
@@ -53,7 +53,7 @@
         let mut due = Vec::new();
         for (id, release) in &mut self.releases {
             if now >= release.next {
-                release.next = now + REPEAT_AFTER;
+                release.next = now + RETRY_INTERVAL;
                 release.left -= 1;
                 due.push((release.engine.clone(), *id, release.end));
             }
--- a/crates/portrack/src/node/requests.rs
+++ b/crates/portrack/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of this entry node that seek a place on an engine.
+//! Requests of this entry node that need a reservation on an engine.
 
 use super::{Effect, Node};
 use crate::owner::{Answer, End, Verdict};
@@ -37,7 +37,7 @@
         };
         let id = ReservationId(self.rng.random());
         let actions = request.try_engine(now, choice.engine, id);
-        self.seeking.insert(id, token);
+        self.reserving.insert(id, token);
         self.act(now, token, actions, out);
     }
 
@@ -50,11 +50,11 @@
                     }
                 }
                 Action::Release(engine, id) => {
-                    self.seeking.remove(&id);
+                    self.reserving.remove(&id);
                     self.release(now, engine, id, End::Ended, out);
                 }
                 Action::Start(grant) => {
-                    self.seeking.remove(&grant.id);
+                    self.reserving.remove(&grant.id);
                     self.started.insert(grant.id);
                     self.view.note_grant(&grant.engine);
                     self.note_prefix(token, &grant.engine);
@@ -83,8 +83,8 @@
         answer: &Answer,
         out: &mut Vec<Effect>,
     ) {
-        let Some(token) = self.seeking.get(&answer.id).copied() else {
-            return self.return_stray(from, answer, out);
+        let Some(token) = self.reserving.get(&answer.id).copied() else {
+            return self.release_unclaimed(from, answer, out);
         };
         let Some(request) = self.requests.get_mut(&token) else {
             return;
@@ -93,8 +93,8 @@
         self.act(now, token, actions, out);
     }
 
-    /// A grant or queue place that nobody here waits for any more goes back at once.
-    fn return_stray(&mut self, from: Instance, answer: &Answer, out: &mut Vec<Effect>) {
+    /// Releases a grant or queue place at once if no request here waits for it.
+    fn release_unclaimed(&mut self, from: Instance, answer: &Answer, out: &mut Vec<Effect>) {
         let known = self.releases.contains_key(&answer.id);
         let refused = matches!(answer.verdict, Verdict::Refused { .. });
         if known || refused || self.started.contains(&answer.id) {
--- a/crates/portrack/src/node/takeovers.rs
+++ b/crates/portrack/src/node/takeovers.rs
@@ -1,5 +1,5 @@
-//! Engines that check no fence: the members are told who holds the lease before anything is
-//! unloaded there.
+//! Takeovers of engines that check no fence: before anything is unloaded there, the members of the
+//! hall confirm that they know the new lease holder.
 
 use super::{Effect, Node};
 use crate::membership::Scope;
@@ -9,11 +9,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between repetitions to members that have not answered.
-const REPEAT_AFTER: Duration = Duration::from_millis(500);
+/// Interval between messages to members that have not answered.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone)]
-pub(super) struct Clearing {
+pub(super) struct PendingTakeover {
     fence: Fence,
     seen: BTreeSet<NodeName>,
     next: Time,
@@ -24,36 +24,42 @@
         let waiting = self.owners.values().filter(|o| o.is_serving() && !o.is_cleared());
         let waiting: Vec<(EngineName, Fence)> =
             waiting.map(|owner| (owner.engine().clone(), owner.fence())).collect();
-        self.clearing.retain(|engine, _| waiting.iter().any(|(e, _)| e == engine));
+        self.pending_takeovers.retain(|engine, _| waiting.iter().any(|(e, _)| e == engine));
         for (engine, fence) in waiting {
-            self.clear_engine(now, engine, fence, out);
+            self.send_takeovers(now, engine, fence, out);
         }
     }
 
-    fn clear_engine(&mut self, now: Time, engine: EngineName, fence: Fence, out: &mut Vec<Effect>) {
+    fn send_takeovers(
+        &mut self,
+        now: Time,
+        engine: EngineName,
+        fence: Fence,
+        out: &mut Vec<Effect>,
+    ) {
         let hall = self.members.iter().filter(|member| member.scope == Scope::Hall);
         let hall: Vec<NodeName> = hall.map(|member| member.peer.node.clone()).collect();
-        let fresh = Clearing { fence, seen: BTreeSet::new(), next: now };
-        let clearing = self.clearing.entry(engine.clone()).or_insert_with(|| fresh.clone());
-        if clearing.fence != fence {
-            *clearing = fresh;
+        let fresh = PendingTakeover { fence, seen: BTreeSet::new(), next: now };
+        let pending = self.pending_takeovers.entry(engine.clone()).or_insert_with(|| fresh.clone());
+        if pending.fence != fence {
+            *pending = fresh;
         }
         let missing: Vec<NodeName> =
-            hall.into_iter().filter(|node| !clearing.seen.contains(node)).collect();
+            hall.into_iter().filter(|node| !pending.seen.contains(node)).collect();
         if missing.is_empty() {
             return self.engine_event(now, &engine, Event::Cleared, out);
         }
-        if now < clearing.next {
+        if now < pending.next {
             return;
         }
-        clearing.next = now + REPEAT_AFTER;
+        pending.next = now + RETRY_INTERVAL;
         for to in missing {
             let body = Message::Takeover { engine: engine.clone(), fence };
             out.push(Effect::Send { to, body });
         }
     }
 
-    /// Stops granting on the engine, then says so.
+    /// Stops granting on the engine if its fence here is older, then confirms the takeover.
     pub(super) fn takeover(
         &mut self,
         now: Time,
@@ -73,8 +79,8 @@
     }
 
     pub(super) fn takeover_seen(&mut self, from: NodeName, engine: &EngineName, fence: Fence) {
-        if let Some(clearing) = self.clearing.get_mut(engine).filter(|c| c.fence == fence) {
-            clearing.seen.insert(from);
+        if let Some(pending) = self.pending_takeovers.get_mut(engine).filter(|c| c.fence == fence) {
+            pending.seen.insert(from);
         }
     }
 }
--- a/crates/portrack/src/node/tunables.rs
+++ b/crates/portrack/src/node/tunables.rs
@@ -1,4 +1,4 @@
-//! All numbers a node goes by.
+//! All parameters of a node.
 
 use crate::loads::Budget;
 use crate::membership::Timing;
@@ -7,20 +7,20 @@
 use crate::router::Weights;
 use std::time::Duration;
 
-/// Collected from the settings in force.
+/// Parameters derived from the settings in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tunables {
-    /// For engine owners.
+    /// Parameters of engine owners.
     pub owner: Tuning,
-    /// For the asking side.
+    /// Timeouts of requests that wait for a reservation.
     pub patience: Patience,
-    /// For the router.
+    /// Weights of the router.
     pub weights: Weights,
-    /// For the load planner.
+    /// Budget of the load planner.
     pub budget: Budget,
-    /// For the membership.
+    /// Timings of the membership.
     pub timing: Timing,
-    /// How long idempotency keys are remembered.
+    /// How long idempotency keys are stored.
     pub key_window: Duration,
 }
 
--- a/crates/portrack/src/once/keeper.rs
+++ b/crates/portrack/src/once/keeper.rs
@@ -1,4 +1,4 @@
-//! The memory of idempotency keys at one member.
+//! Stores the idempotency keys that this member keeps.
 
 use super::{Halls, PairHistory};
 use crate::types::{Instance, NodeName, ReservationId, Time};
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A claim whose second keeper does not answer is given up after this.
+/// A claim is dropped if the second keeper does not answer within this.
 const COPY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A key that was given must be used within this, counted by the entry node from its claim.
-/// Keepers remember keys for so much longer than the window.
+/// A granted key must be used within this time after the entry node claimed it. Keepers store keys
+/// for this much longer than the window.
 pub const USE_WITHIN: Duration = Duration::from_secs(4);
 
-/// Something to do for a key.
+/// A message that the keeper wants sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeeperOutput {
-    /// Tell the second keeper.
+    /// Copy the claim to the second keeper.
     Copy(NodeName, KeyClaim),
     /// Answer the first keeper.
     Copied(NodeName, KeyReply),
@@ -26,10 +26,10 @@
 
 #[derive(Debug, Clone)]
 struct Record {
-    /// Who has the key; none if the other keeper only said that somebody has.
+    /// The request that holds the key; `None` if the other keeper only reported that it is taken.
     request: Option<ReservationId>,
     at: Time,
-    /// The claim still waits for the second keeper.
+    /// Set while the claim waits for the second keeper.
     pending: Option<Pending>,
 }
 
@@ -39,7 +39,7 @@
     trusted: bool,
 }
 
-/// Keeps keys for one window after their last possible use.
+/// Stores keys for one window after their last possible use.
 #[derive(Debug, Clone)]
 pub struct Keeper {
     me: NodeName,
@@ -49,28 +49,28 @@
 }
 
 impl Keeper {
-    /// An empty memory.
+    /// Creates a keeper without keys.
     pub fn new(me: NodeName, window: Duration) -> Self {
         let window = window + USE_WITHIN;
         Self { me, window, pairs: PairHistory::default(), records: BTreeMap::new() }
     }
 
-    /// Takes a changed window.
+    /// Replaces the window.
     pub fn set_window(&mut self, window: Duration) {
         self.window = window + USE_WITHIN;
     }
 
-    /// Notes who is there now.
+    /// Records the current members.
     pub fn members(&mut self, now: Time, halls: Halls) {
-        self.pairs.note(now, halls, self.window);
+        self.pairs.record(now, halls, self.window);
     }
 
-    /// First and second keeper of a key.
+    /// Returns the first and the second keeper of a key.
     pub fn keepers(&self, key: u128) -> (Option<NodeName>, Option<NodeName>) {
         self.pairs.keepers(key)
     }
 
-    /// An entry node claims a key here.
+    /// Handles a claim from an entry node.
     pub fn claim(&mut self, now: Time, claim: KeyClaim) -> Vec<KeeperOutput> {
         let (first, second) = self.pairs.keepers(claim.key);
         if first.as_ref() != Some(&self.me) {
@@ -86,7 +86,7 @@
                 (false, _) => vec![self.reply(&claim, KeyVerdict::Taken)],
             };
         }
-        let trusted = self.pairs.kept_throughout(claim.key, &self.me, now, self.window);
+        let trusted = self.pairs.was_keeper_throughout(claim.key, &self.me, now, self.window);
         let Some(second) = second else {
             return self.claim_alone(now, claim, trusted);
         };
@@ -105,14 +105,14 @@
         vec![self.reply(&claim, KeyVerdict::Yours)]
     }
 
-    /// The first keeper tells this one of a claim.
+    /// Handles a claim copied from the first keeper.
     pub fn copy(&mut self, now: Time, from: NodeName, claim: KeyClaim) -> Vec<KeeperOutput> {
         let verdict = match self.records.get(&claim.key) {
             Some(record) if record.request != Some(claim.request) => KeyVerdict::Taken,
             _ => {
                 let record = Record { request: Some(claim.request), at: now, pending: None };
                 self.records.insert(claim.key, record);
-                match self.pairs.kept_throughout(claim.key, &self.me, now, self.window) {
+                match self.pairs.was_keeper_throughout(claim.key, &self.me, now, self.window) {
                     true => KeyVerdict::Yours,
                     false => KeyVerdict::Untrusted,
                 }
@@ -122,7 +122,7 @@
         vec![KeeperOutput::Copied(from, reply)]
     }
 
-    /// The second keeper has answered.
+    /// Handles the second keeper's answer.
     pub fn copied(&mut self, reply: KeyReply) -> Vec<KeeperOutput> {
         let Some(record) = self.records.get_mut(&reply.key) else {
             return Vec::new();
@@ -148,7 +148,7 @@
         vec![KeeperOutput::Reply(pending.entry.node, KeyReply { verdict, ..reply })]
     }
 
-    /// The request was certainly not sent.
+    /// Frees a key whose request was certainly not sent.
     pub fn free(&mut self, claim: &KeyClaim) {
         let same = self.records.get(&claim.key).is_some_and(|r| r.request == Some(claim.request));
         if same {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Forgets old keys and claims without a second keeper's answer.
+    /// Drops expired keys and claims that the second keeper did not answer in time.
     pub fn tick(&mut self, now: Time) {
         let window = self.window;
         self.records.retain(|_, record| {
@@ -170,12 +170,12 @@
         KeeperOutput::Reply(claim.entry.node.clone(), reply)
     }
 
-    /// Keys remembered.
+    /// Number of keys stored.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True if no key is remembered.
+    /// Whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/portrack/src/once/mod.rs
+++ b/crates/portrack/src/once/mod.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: the same key at two entry nodes lets one request through.
+//! Idempotency keys: of several requests with the same key, at any entry nodes, only one is sent.
 
 mod keeper;
 mod pairs;
--- a/crates/portrack/src/wire/claim.rs
+++ b/crates/portrack/src/wire/claim.rs
@@ -14,20 +14,20 @@
     pub entry: Instance,
 }
 
-/// How a claim ends.
+/// The outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyVerdict {
-    /// The key is this request's; it may be sent once.
+    /// The request holds the key and may be sent once.
     Yours,
-    /// Another request has it.
+    /// Another request holds the key.
     Taken,
-    /// Too little is remembered to tell.
+    /// It cannot be determined whether the key was used.
     Untrusted,
-    /// This node does not keep the key.
+    /// This node is not the first keeper of the key.
     NotKeeper,
 }
 
-/// Answers a claim.
+/// The reply to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyReply {
     /// The key.
--- a/crates/portrack/src/wire/codec.rs
+++ b/crates/portrack/src/wire/codec.rs
@@ -1,6 +1,6 @@
-//! Turns envelopes into datagrams and back.
+//! Encodes and decodes datagrams.
 //!
-//! A datagram is one version byte, a tag, and the envelope in postcard.
+//! A datagram consists of a version byte, an authentication tag and the envelope in postcard.
 
 use super::error::{MalformedSnafu, WireError};
 use super::key::{KeyRing, TAG_LEN};
@@ -9,19 +9,19 @@
 use snafu::{ResultExt, ensure};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The protocol version spoken.
+/// The protocol version.
 pub const VERSION: u8 = 1;
-/// The longest datagram, in bytes: one Ethernet frame with room for tunnels.
+/// Largest datagram in bytes: one Ethernet frame less the overhead of tunnels.
 pub const MAX_DATAGRAM: usize = 1_400;
 
 const HEADER_LEN: usize = 1 + TAG_LEN;
 
-/// The number that marks a cluster's datagrams.
+/// Hash of the cluster name, carried in every datagram.
 pub fn cluster_hash(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) >> 32) as u32
 }
 
-/// Seals an envelope.
+/// Encodes and signs an envelope.
 pub fn seal(ring: &KeyRing, envelope: &Envelope) -> Result<Vec<u8>, WireError> {
     let body = postcard::to_allocvec(envelope).context(MalformedSnafu)?;
     let datagram = seal_bytes(ring, &body);
@@ -30,7 +30,7 @@
     Ok(datagram)
 }
 
-/// Opens a datagram that is meant for `me`.
+/// Verifies and decodes a datagram addressed to `me`.
 pub fn open(
     ring: &KeyRing,
     cluster: u32,
--- a/crates/portrack/src/wire/envelope.rs
+++ b/crates/portrack/src/wire/envelope.rs
@@ -1,13 +1,13 @@
-//! What surrounds every message.
+//! The envelope of every datagram.
 
 use super::Message;
 use crate::types::{Instance, NodeName};
 use serde::{Deserialize, Serialize};
 
-/// A message with its sender, receiver and number.
+/// A message with its sender, receiver and sequence number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The cluster's mark; see [`super::cluster_hash`].
+    /// Hash of the cluster name; see [`super::cluster_hash`].
     pub cluster: u32,
     /// The sender.
     pub from: Instance,
--- a/crates/portrack/src/wire/error.rs
+++ b/crates/portrack/src/wire/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
-    /// Longer than allowed.
+    /// Larger than the limit.
     #[snafu(display("{size} bytes exceed the limit of {limit}"))]
     TooLarge {
         /// Its size in bytes.
@@ -14,31 +14,31 @@
         /// The limit in bytes.
         limit: usize,
     },
-    /// Shorter than its own header.
+    /// Shorter than the header.
     #[snafu(display("truncated"))]
     Truncated,
-    /// Another protocol version.
-    #[snafu(display("protocol version {version} is not known"))]
+    /// Unsupported protocol version.
+    #[snafu(display("unsupported protocol version {version}"))]
     Version {
         /// The version found.
         version: u8,
     },
-    /// No accepted key made this tag.
+    /// The tag matches no accepted key.
     #[snafu(display("the tag matches no accepted key"))]
     Tag,
-    /// Meant for another cluster.
-    #[snafu(display("from another cluster"))]
+    /// Belongs to another cluster.
+    #[snafu(display("belongs to another cluster"))]
     Cluster,
-    /// Meant for another node.
-    #[snafu(display("meant for another node"))]
+    /// Addressed to another node.
+    #[snafu(display("addressed to another node"))]
     Receiver,
-    /// Not decodable.
+    /// Cannot be decoded.
     #[snafu(display("malformed: {source}"))]
     Malformed {
-        /// What the decoder said.
+        /// The error of the decoder.
         source: postcard::Error,
     },
-    /// Seen before, or older than the window.
+    /// Received before, or older than the replay window.
     #[snafu(display("replayed or too old"))]
     Replayed,
 }
--- a/crates/portrack/src/wire/heartbeat.rs
+++ b/crates/portrack/src/wire/heartbeat.rs
@@ -1,19 +1,19 @@
-//! What every daemon says at a steady pace.
+//! Heartbeats.
 
 use crate::owner::Load;
 use crate::types::NodeName;
 use serde::{Deserialize, Serialize};
 
-/// What a daemon says of itself.
+/// The state that a daemon reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Works.
+    /// In normal operation.
     Alive,
-    /// Finishes what it has; owns nothing, takes nothing new.
+    /// Finishes its running requests; owns no engines and accepts no new work.
     Leaving,
 }
 
-/// Which settings a daemon has in force.
+/// Identifies the settings that a daemon has in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsMark {
     /// The highest revision applied.
@@ -22,17 +22,17 @@
     pub digest: u64,
 }
 
-/// Sent by every daemon at a steady pace.
+/// Sent periodically by every daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Alive or leaving.
     pub state: MemberState,
     /// Settings in force.
     pub settings: SettingsMark,
-    /// True if the platform's key-value service answered lately.
+    /// Whether the platform's key-value service answered recently.
     pub platform: bool,
-    /// Nodes of the own hall that this daemon no longer hears.
+    /// Nodes of its hall from which the sender no longer receives heartbeats.
     pub suspects: Vec<NodeName>,
-    /// The engines owned.
+    /// Loads of the engines that the sender owns.
     pub loads: Vec<Load>,
 }
--- a/crates/portrack/src/wire/key.rs
+++ b/crates/portrack/src/wire/key.rs
@@ -5,21 +5,21 @@
 use snafu::Snafu;
 use subtle::ConstantTimeEq;
 
-/// Bytes of a tag: HMAC-SHA-256, cut to 128 bits.
+/// Length of a tag in bytes: HMAC-SHA-256, truncated to 128 bits.
 pub const TAG_LEN: usize = 16;
-/// The shortest key accepted, in bytes.
+/// Shortest accepted key, in bytes.
 pub const MIN_KEY_LEN: usize = 16;
 
 /// Why a key file cannot be used.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum KeyRingError {
-    /// No key in it.
+    /// The file contains no key.
     #[snafu(display("no key found; write one of at least {MIN_KEY_LEN} bytes in hexadecimal"))]
     Empty,
-    /// A line that is no key.
+    /// A line is not a valid key.
     #[snafu(display("line {line}: a key is at least {MIN_KEY_LEN} bytes in hexadecimal"))]
     BadLine {
-        /// The line, counted from 1.
+        /// The line number, from 1.
         line: usize,
     },
 }
@@ -29,15 +29,15 @@
 pub struct Key(Vec<u8>);
 
 impl Key {
-    /// A key from raw bytes.
+    /// Creates a key from raw bytes.
     pub fn new(bytes: &[u8]) -> Self {
         Self(bytes.to_vec())
     }
 
-    /// The tag of these bytes.
+    /// Computes the tag of `bytes`.
     pub fn tag(&self, bytes: &[u8]) -> [u8; TAG_LEN] {
         let mut mac =
-            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes a key of any length");
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts keys of any length");
         mac.update(bytes);
         let whole = mac.finalize().into_bytes();
         let mut tag = [0; TAG_LEN];
@@ -52,17 +52,17 @@
     }
 }
 
-/// The first key signs; every key is accepted.
+/// The shared keys: the first one signs, all are accepted.
 #[derive(Debug, Clone)]
 pub struct KeyRing(Vec<Key>);
 
 impl KeyRing {
-    /// A ring of one key.
+    /// Creates a key ring of one key.
     pub fn single(key: Key) -> Self {
         Self(vec![key])
     }
 
-    /// Reads a key file: a hexadecimal key a line; empty lines and `#` lines are skipped.
+    /// Reads a key file: one hexadecimal key per line; empty lines and `#` lines are skipped.
     pub fn parse(text: &str) -> Result<Self, KeyRingError> {
         let mut keys = Vec::new();
         for (at, line) in text.lines().enumerate() {
@@ -85,12 +85,12 @@
         Ok(Self(keys))
     }
 
-    /// The tag of these bytes by the signing key.
+    /// Computes the tag of `bytes` with the signing key.
     pub fn sign(&self, bytes: &[u8]) -> [u8; TAG_LEN] {
         self.0[0].tag(bytes)
     }
 
-    /// True if an accepted key made this tag. Takes the same time for every wrong tag.
+    /// Whether an accepted key made this tag. Takes the same time for every wrong tag.
     pub fn verify(&self, bytes: &[u8], tag: &[u8]) -> bool {
         let matches = |key: &Key| bool::from(key.tag(bytes).ct_eq(tag));
         self.0.iter().fold(false, |found, key| found | matches(key))
--- a/crates/portrack/src/wire/kind.rs
+++ b/crates/portrack/src/wire/kind.rs
@@ -1,17 +1,17 @@
-//! The kinds of messages.
+//! Kinds of messages.
 
-/// The kinds of messages, for meters.
+/// Kinds of messages, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Heartbeats and further loads.
+    /// Heartbeats and loads.
     Heartbeat,
-    /// Holdings and asks for them.
+    /// Holdings and requests for them.
     Holdings,
-    /// Reservations, answers and releases.
+    /// Reservations, answers, releases and takeovers.
     Reserve,
-    /// Load permits.
+    /// Requests, grants and returns of load permits.
     Permit,
-    /// Idempotency keys.
+    /// Claims of idempotency keys.
     Key,
     /// Settings fetched over TCP.
     Settings,
--- a/crates/portrack/src/wire/message.rs
+++ b/crates/portrack/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! Everything that daemons say to each other in datagrams.
+//! The messages that daemons exchange in datagrams.
 
 use super::{Heartbeat, KeyClaim, KeyReply, Kind, PermitAsk, PermitRef};
 use crate::owner::{Answer, Ask, End, Holdings, Load};
@@ -8,50 +8,50 @@
 /// A message between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Membership, settings mark and load.
+    /// Member state, settings in force and loads.
     Heartbeat(Heartbeat),
-    /// More engines than one heartbeat carries.
+    /// Loads that did not fit into the heartbeat.
     Loads(Vec<Load>),
-    /// Which adapters an engine holds.
+    /// The adapters that an engine holds.
     Holdings(Holdings),
     /// Asks the owner for the holdings of an engine.
     HoldingsAsk(EngineName),
-    /// Asks an owner for a place.
+    /// Requests a reservation from an owner.
     Reserve {
         /// The engine.
         engine: EngineName,
-        /// The ask.
+        /// The reservation request.
         ask: Ask,
     },
-    /// The owner's answer.
+    /// The owner's answer to a reservation request.
     Answer(Answer),
-    /// Gives a place back.
+    /// Releases a reservation.
     Release {
         /// The engine.
         engine: EngineName,
         /// The reservation.
         id: ReservationId,
-        /// What is known of its end.
+        /// What is known about how it ended.
         end: End,
     },
-    /// The owner has taken a release in.
+    /// The owner confirms a release.
     Released(ReservationId),
-    /// Asks for a load permit.
+    /// Requests a load permit.
     PermitAsk(PermitAsk),
-    /// The planner has the ask, and no permit yet.
+    /// The planner has received the request and has not granted it yet.
     PermitSeen(PermitRef),
     /// Grants a load permit.
     PermitGrant(PermitRef),
-    /// Gives a load permit back.
+    /// Returns a load permit.
     PermitDone(PermitRef),
-    /// The sender holds the lease of an engine that checks no fence: grant nothing there.
+    /// The sender holds the lease of an engine that checks no fence: the receiver stops granting there.
     Takeover {
         /// The engine.
         engine: EngineName,
         /// The fence it is held under.
         fence: Fence,
     },
-    /// The sender grants nothing on the engine below this fence.
+    /// Confirms a takeover: the sender grants nothing on the engine below this fence.
     TakeoverSeen {
         /// The engine.
         engine: EngineName,
@@ -60,11 +60,11 @@
     },
     /// Claims an idempotency key at its first keeper.
     KeyClaim(KeyClaim),
-    /// The first keeper tells the second before it answers.
+    /// Copies a claim from the first keeper to the second before the first one answers.
     KeyCopy(KeyClaim),
-    /// The second keeper's word to the first.
+    /// The second keeper's answer to the first.
     KeyCopied(KeyReply),
-    /// The first keeper's word to the entry node.
+    /// The first keeper's answer to the entry node.
     KeyReply(KeyReply),
     /// The request was certainly not sent: the key is free again.
     KeyFree(KeyClaim),
--- a/crates/portrack/src/wire/permit.rs
+++ b/crates/portrack/src/wire/permit.rs
@@ -3,18 +3,18 @@
 use crate::types::{AdapterVersion, EngineName};
 use serde::{Deserialize, Serialize};
 
-/// Asks the load planner for a permit.
+/// Requests a permit from the load planner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// Which load.
+    /// The load.
     pub load: PermitRef,
     /// How long the first request has waited, in milliseconds.
     pub waited_ms: u32,
-    /// Requests that wait, interactive ones counted more.
+    /// Weighted number of waiting requests; interactive ones weigh more.
     pub weight: u32,
 }
 
-/// Names one load.
+/// Identifies one load.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PermitRef {
     /// The engine.
--- a/crates/portrack/src/wire/replay.rs
+++ b/crates/portrack/src/wire/replay.rs
@@ -1,12 +1,12 @@
-//! Drops datagrams that were seen before.
+//! Replay protection for datagrams.
 
 use super::WireError;
 use crate::types::Instance;
 
-/// Datagrams that may overtake each other, counted per sender.
+/// Size of the window: how far datagrams of one sender may arrive out of order.
 const WINDOW: u64 = 128;
 
-/// What was seen from one node.
+/// The sequence numbers received from one node.
 #[derive(Debug, Clone, Default)]
 pub struct ReplayWindow {
     incarnation: u64,
@@ -15,7 +15,7 @@
 }
 
 impl ReplayWindow {
-    /// Takes a datagram's number in, or says that it is a repetition.
+    /// Records a datagram's sequence number, or rejects it as replayed or too old.
     pub fn accept(&mut self, from: &Instance, seq: u64) -> Result<(), WireError> {
         if from.incarnation < self.incarnation {
             return Err(WireError::Replayed);
--- a/crates/portrack/tests/chunks.rs
+++ b/crates/portrack/tests/chunks.rs
@@ -1,4 +1,4 @@
-//! A caller gets its own whole answer: every chunk is checked.
+//! Tests that a stream yields only the chunks of its own request, complete and in order.
 
 use bytes::Bytes;
 use portrack::engine::{ChunkCheck, ChunkStream, ChunkVerdict, StreamError};
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn only_the_next_chunk_of_the_own_request_is_taken() {
+fn only_the_next_chunk_of_the_request_is_accepted() {
     let mut check = ChunkCheck::new(MINE);
-    let mut judge = |id: &str| check.judge(id);
-    assert_eq!(judge(&id(7, 0)), ChunkVerdict::Take);
-    assert_eq!(judge(&id(8, 1)), ChunkVerdict::Foreign);
-    assert_eq!(judge(&id(7, 0)), ChunkVerdict::Repeated);
-    assert_eq!(judge(&id(7, 2)), ChunkVerdict::Gap);
-    assert_eq!(judge(""), ChunkVerdict::Foreign);
-    assert_eq!(judge("7/x"), ChunkVerdict::Foreign);
-    assert_eq!(judge(&id(7, 1)), ChunkVerdict::Take);
+    let mut check_event = |id: &str| check.check_event(id);
+    assert_eq!(check_event(&id(7, 0)), ChunkVerdict::Take);
+    assert_eq!(check_event(&id(8, 1)), ChunkVerdict::Foreign);
+    assert_eq!(check_event(&id(7, 0)), ChunkVerdict::Repeated);
+    assert_eq!(check_event(&id(7, 2)), ChunkVerdict::Gap);
+    assert_eq!(check_event(""), ChunkVerdict::Foreign);
+    assert_eq!(check_event("7/x"), ChunkVerdict::Foreign);
+    assert_eq!(check_event(&id(7, 1)), ChunkVerdict::Take);
 }
 
 fn stream(events: &[(String, &str)]) -> ChunkStream {
@@ -32,10 +32,10 @@
 }
 
 #[actix_rt::test]
-async fn late_and_foreign_chunks_are_dropped_and_counted() {
+async fn repeated_and_foreign_chunks_are_dropped_and_counted() {
     let mut stream = stream(&[
         (id(7, 0), "a"),
-        (id(9, 1), "stranger"),
+        (id(9, 1), "foreign"),
         (id(7, 0), "a"),
         (id(7, 1), "b"),
         (id(7, 2), "[DONE]"),
@@ -53,7 +53,7 @@
 }
 
 #[actix_rt::test]
-async fn a_missing_chunk_is_no_end() {
+async fn missing_chunks_and_a_missing_end_are_errors() {
     let mut gap = stream(&[(id(7, 0), "a"), (id(7, 2), "c")]);
     gap.next().await.unwrap();
     assert_eq!(gap.next().await, Err(StreamError::Gap));
--- a/crates/portrack/tests/limits.rs
+++ b/crates/portrack/tests/limits.rs
@@ -1,6 +1,6 @@
-//! Breakers and the retry budget.
+//! Tests of the circuit breakers and the retry budget.
 
-use portrack::limits::{Breakers, Patience, RetryBudget};
+use portrack::limits::{BreakerConfig, Breakers, RetryBudget};
 use portrack::types::{EngineName, Time};
 
 fn names(count: usize) -> Vec<EngineName> {
@@ -8,13 +8,13 @@
 }
 
 fn fail(breakers: &mut Breakers, now: Time, server: &EngineName) {
-    for _ in 0..Patience::default().failures {
+    for _ in 0..BreakerConfig::default().failures {
         breakers.failure(now, server);
     }
 }
 
 #[test]
-fn a_server_that_keeps_failing_is_left_alone_for_longer_each_time() {
+fn open_time_doubles_when_a_server_fails_again() {
     let (mut breakers, servers) = (Breakers::default(), names(2));
     fail(&mut breakers, Time(0), &servers[0]);
     assert!(breakers.is_open(Time(999), &servers[0]));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn half_of_the_servers_stay_in_use_whatever_happens() {
+fn half_of_the_servers_stay_usable_when_all_fail() {
     let (mut breakers, servers) = (Breakers::default(), names(4));
     for server in &servers {
         fail(&mut breakers, Time(0), server);
@@ -44,7 +44,7 @@
     let saved = (0..100).filter(|_| budget.take()).count();
     assert_eq!(saved, 10);
     for _ in 0..50 {
-        budget.note_request();
+        budget.record_request();
     }
     let earned = (0..100).filter(|_| budget.take()).count();
     assert!((4..=5).contains(&earned), "{earned} retries for 50 requests");
--- a/crates/portrack/tests/wire.rs
+++ b/crates/portrack/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams, frames and every decoder that bytes from outside reach.
+//! Tests of datagrams, frames and all decoders of external input.
 
 use portrack::settings::{Bootstrap, SettingsFile, TreePath, decode};
 use portrack::types::{Instance, NodeName};
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn a_datagram_comes_back_as_it_was() {
+fn datagram_round_trip() {
     let sealed = seal(&ring(1), &envelope(3)).unwrap();
     let (from, seq, body) = open(&ring(1), cluster_hash("c"), &node("n2"), &sealed).unwrap();
     assert_eq!((from, seq, body), (envelope(3).from, 3, envelope(3).body));
 }
 
 #[test]
-fn wrong_keys_clusters_receivers_and_truncation_are_told_apart() {
+fn each_rejection_has_its_own_label() {
     let sealed = seal(&ring(1), &envelope(3)).unwrap();
     let to = |ring: &KeyRing, cluster: &str, me: &str, bytes: &[u8]| {
         open(ring, cluster_hash(cluster), &node(me), bytes).unwrap_err().label()
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn keys_can_be_changed_with_both_accepted() {
+fn keys_can_be_rotated_while_both_are_accepted() {
     let (old, new) = ("11".repeat(16), "22".repeat(16));
     let before = KeyRing::parse(&format!("{old}\n")).unwrap();
     let between = KeyRing::parse(&format!("# new first\n{new}\n{old}\n")).unwrap();
@@ -72,14 +72,14 @@
 }
 
 #[test]
-fn a_bad_key_file_names_the_line() {
+fn key_file_errors_contain_the_line_number() {
     let short = KeyRing::parse("# ok\nabcd\n").unwrap_err();
     assert_eq!(short.to_string(), "line 2: a key is at least 16 bytes in hexadecimal");
     assert!(KeyRing::parse("\n").is_err());
 }
 
 #[test]
-fn replayed_datagrams_are_dropped_and_late_ones_are_not() {
+fn replayed_datagrams_are_rejected_and_late_ones_accepted() {
     let from = Instance { node: node("n1"), incarnation: 5 };
     let mut window = ReplayWindow::default();
     for seq in [1, 3, 2, 200] {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn paths_of_the_tree_are_checked() {
+fn settings_paths_are_validated() {
     let path: TreePath = "fleet/hall:a/service:chat".parse().unwrap();
     assert_eq!(path.to_string(), "fleet/hall:a/service:chat");
     for bad in ["", "hall:a", "fleet/", "fleet/room:a", "fleet/service:x/hall:a", "fleet/hall:"] {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_settings_file_is_checked_as_a_whole_with_its_lines() {
+fn settings_file_errors_contain_the_line_number() {
     let text = "[tree.\"fleet\"]\nstall_weight = 70\nmin_hold_ms = 9999999\n";
     let error = SettingsFile::parse(Path::new("f.toml"), text).unwrap_err().to_string();
     insta::assert_snapshot!(error, @"f.toml:3: fleet min_hold_ms: fleet: min_hold_ms must lie between 0 and 3600000 ms, not 9999999");
@@ -125,7 +125,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Bytes behind a good tag still may be anything: an accepted key may be of another build.
+    /// Bytes with a valid tag can still be arbitrary: the sender may run another build.
     #[test]
     fn no_decoder_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = open(&ring(1), cluster_hash("c"), &node("n2"), &bytes);
@@ -144,7 +144,7 @@
     }
 
     #[test]
-    fn frames_come_back_as_they_were(have in proptest::collection::vec(any::<(u64, u64)>(), 0..50)) {
+    fn frame_round_trip(have in proptest::collection::vec(any::<(u64, u64)>(), 0..50)) {
         let ask = FetchRequest { cluster: 7, have };
         let frame = seal_frame(&ring(1), &ask).unwrap();
         let length = u32::from_be_bytes(frame[..4].try_into().unwrap()) as usize;
