--- a/crates/portrack/src/daemon/answer.rs
+++ b/crates/portrack/src/daemon/answer.rs
@@ -1,9 +1,9 @@
-//! Puts the chunks of a stream together for callers that want one answer.
+//! Assembles the chunks of a stream into one response for callers that do not stream.
 
 use crate::engine::Endpoint;
 use serde_json::{Map, Value, json};
 
-/// The whole answer, growing.
+/// A response that is being assembled.
 pub struct Answer {
     endpoint: Endpoint,
     head: Option<Map<String, Value>>,
@@ -13,12 +13,12 @@
 }
 
 impl Answer {
-    /// An empty answer.
+    /// Creates an empty response.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint, head: None, text: String::new(), finish: Value::Null, usage: None }
     }
 
-    /// Adds a chunk. False if it is no chunk of a completion.
+    /// Adds a chunk. Returns false if it is not a JSON object.
     pub fn push(&mut self, data: &str) -> bool {
         let Ok(Value::Object(mut chunk)) = serde_json::from_str(data) else { return false };
         let choice = chunk.get("choices").and_then(|choices| choices.get(0)).cloned();
@@ -42,7 +42,7 @@
         true
     }
 
-    /// The answer as one JSON object.
+    /// Returns the response as one JSON object.
     pub fn finish(self) -> Value {
         let mut answer = self.head.unwrap_or_default();
         let (object, choice) = match self.endpoint {
--- a/crates/portrack/src/daemon/callers.rs
+++ b/crates/portrack/src/daemon/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! Request handler of the listener for callers.
 
 use super::completion::complete;
 use super::core::Core;
@@ -11,7 +11,7 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// Answers a caller.
+/// Handles a request from a caller.
 pub async fn answer(core: Rc<Core>, request: Request) -> Reply {
     let path = request.path().to_owned();
     match (request.method(), path.as_str()) {
@@ -23,21 +23,21 @@
         _ => match service_of(&core, &path) {
             Some((name, service)) => forward(core, name, service, request).await,
             None => {
-                let detail = format!("nothing is served under {path}");
+                let detail = format!("no service at {path}");
                 refuse(&core, &Refusal::not_run(Reason::NotFound, detail))
             }
         },
     }
 }
 
-/// The answer that carries a refusal, counted.
+/// Counts a refusal and returns its response.
 pub fn refuse(core: &Rc<Core>, refusal: &Refusal) -> Reply {
     let labels = [refusal.reason.as_str(), refusal.run.as_str()];
     core.metrics.refusals.with_label_values(&labels).inc();
     problem(refusal)
 }
 
-/// The service with the longest path that fits.
+/// Returns the service with the longest path that matches.
 fn service_of(core: &Rc<Core>, path: &str) -> Option<(ServiceName, PlainService)> {
     let book = core.book.borrow();
     let serving = book.services().iter().filter(|(_, service)| service.serves(path));
@@ -57,7 +57,7 @@
     http::json(StatusCode::OK, &json!({ "object": "list", "data": models }))
 }
 
-/// Ready while there are settings and no stop has begun.
+/// Ready once settings are in force and until a stop begins.
 fn ready(core: &Rc<Core>) -> Reply {
     let has_settings = !core.book.borrow().is_empty();
     match has_settings && core.ready.get() && !core.leaving.get() {
--- a/crates/portrack/src/daemon/completion.rs
+++ b/crates/portrack/src/daemon/completion.rs
@@ -1,12 +1,12 @@
-//! A completion request from its arrival to its end.
+//! Handles completion requests.
 
 use super::answer::Answer;
 use super::callers::refuse;
 use super::core::Core;
 use super::inflight::InFlightGuard;
-use super::key::HeldKey;
-use super::place::Place;
+use super::key::ClaimedKey;
 use super::prompt::Prompt;
+use super::reservation::Reservation;
 use super::resolve::resolve;
 use super::sink::Sink;
 use crate::engine::{Call, ChunkCheck, ChunkStream, Endpoint, OpenError, ResumeError};
@@ -22,18 +22,18 @@
 use std::time::Duration;
 use tokio::sync::mpsc::channel;
 
-/// The longest pause between parts of a caller's body.
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
-/// Chunks that wait for a slow caller before its stream is held back.
-const CHUNKS_AHEAD: usize = 64;
-/// Times a broken stream is resumed at its engine.
-const RESUMES: u32 = 3;
-/// Pause before a resume.
+/// Largest pause between two parts of a caller's body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Chunks buffered for a slow caller before backpressure applies to its stream.
+const CHUNK_BUFFER: usize = 64;
+/// Largest number of attempts to resume a broken stream.
+const MAX_RESUMES: u32 = 3;
+/// Pause before the first attempt to resume; grows with each further attempt.
 const RESUME_PAUSE: Duration = Duration::from_millis(100);
-/// The service of requests that name none.
+/// Service of requests that do not name one.
 const DEFAULT_SERVICE: &str = "default";
 
-/// A request that has been checked and resolved once, for good.
+/// A validated request. Adapter and version are resolved once and do not change.
 struct Completion {
     core: Rc<Core>,
     endpoint: Endpoint,
@@ -43,10 +43,10 @@
     deadline: Time,
     arrived: Time,
     waited: Rc<Cell<Duration>>,
-    once: bool,
+    at_most_once: bool,
     /// Service and idempotency key, until the key is claimed.
     key: Option<(String, String)>,
-    held_key: Option<HeldKey>,
+    claimed_key: Option<ClaimedKey>,
     _in_flight: InFlightGuard,
 }
 
@@ -70,7 +70,7 @@
         let meta = Meta::parse(request.headers())?;
         let service = meta.service.clone().unwrap_or_else(|| DEFAULT_SERVICE.to_owned());
         let settings = core.effective(Some(&service));
-        let body = read_body(request, settings.body_limit(), BODY_PATIENCE).await?;
+        let body = read_body(request, settings.body_limit(), BODY_READ_TIMEOUT).await?;
         let prompt = Prompt::parse(endpoint, &body)?;
         let wanted = resolve(core, &prompt, &meta, &service)?;
         let deadline = arrived + meta.deadline.unwrap_or_else(|| settings.deadline());
@@ -84,9 +84,9 @@
             deadline,
             arrived,
             waited: Rc::default(),
-            once: meta.repeatable == Some(false) || meta.key.is_some(),
+            at_most_once: meta.repeatable == Some(false) || meta.key.is_some(),
             key: meta.key.map(|key| (service, key)),
-            held_key: None,
+            claimed_key: None,
             _in_flight: in_flight,
         })
     }
@@ -98,11 +98,11 @@
         }
     }
 
-    /// Streams: the head goes out once the first chunk is there, so that a refusal before it is
-    /// still a plain refusal.
+    /// Streams the response. The head is sent only with the first chunk, so that an earlier refusal
+    /// can still be sent as a refusal.
     async fn answer_stream(self) -> Reply {
         let (core, waited) = (self.core.clone(), self.waited.clone());
-        let (sender, mut receiver) = channel::<Result<Bytes, std::io::Error>>(CHUNKS_AHEAD);
+        let (sender, mut receiver) = channel::<Result<Bytes, std::io::Error>>(CHUNK_BUFFER);
         let (refused, refusal) = tokio::sync::oneshot::channel();
         actix_rt::spawn(async move {
             let mut sink = Sink::Stream { sender, forwarded: false };
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Runs to the end and settles the idempotency key.
+    /// Runs the request and settles its idempotency key.
     async fn run(mut self, sink: &mut Sink) -> Result<(), Refusal> {
         let result = self.attempts(sink).await;
         let end = match &result {
@@ -147,28 +147,28 @@
             Err(_) => "failed",
         };
         self.core.metrics.requests.with_label_values(&[end]).inc();
-        if let Some(key) = self.held_key.take() {
+        if let Some(key) = self.claimed_key.take() {
             key.settle(&self.core, result.as_ref().err().map(|refusal| refusal.run));
         }
         result
     }
 
-    /// Tries engines until one answers, as far as the request may be repeated.
+    /// Tries engines until one completes, as long as the request may be repeated.
     async fn attempts(&mut self, sink: &mut Sink) -> Result<(), Refusal> {
         let mut lost_before = false;
         loop {
             let spec = Spec { wanted: self.wanted.clone(), deadline: self.deadline };
-            let mut place = Place::seek(&self.core, spec);
-            let (engine, error) = match self.attempt(&mut place, sink).await {
-                Ok(Ended::Whole) => return Ok(()),
-                Ok(Ended::Lost(engine, error)) => (engine, error),
+            let mut reservation = Reservation::request(&self.core, spec);
+            let (engine, error) = match self.attempt(&mut reservation, sink).await {
+                Ok(AttemptOutcome::Whole) => return Ok(()),
+                Ok(AttemptOutcome::Lost(engine, error)) => (engine, error),
                 Err(refusal) if lost_before => return Err(refusal.after_a_run()),
                 Err(refusal) => return Err(refusal),
             };
             lost_before = true;
-            place.cancel().await;
+            reservation.cancel().await;
             sink.restart(self.endpoint);
-            let may_repeat = !self.once && !sink.forwarded();
+            let may_repeat = !self.at_most_once && !sink.forwarded();
             if !may_repeat || !self.core.retries.borrow_mut().take() {
                 return Err(error);
             }
@@ -177,16 +177,20 @@
         }
     }
 
-    /// One place: opens the stream there and passes it on.
-    async fn attempt(&mut self, place: &mut Place, sink: &mut Sink) -> Result<Ended, Refusal> {
+    /// Waits for a grant, opens the stream at that engine and forwards it.
+    async fn attempt(
+        &mut self,
+        reservation: &mut Reservation,
+        sink: &mut Sink,
+    ) -> Result<AttemptOutcome, Refusal> {
         loop {
-            let grant = place.granted().await?;
-            if let Err(refusal) = self.secure_key().await {
-                place.finish(true);
+            let grant = reservation.granted().await?;
+            if let Err(refusal) = self.claim_key().await {
+                reservation.finish(true);
                 return Err(refusal);
             }
             let Some(server) = self.core.server(&grant.engine) else {
-                place.not_run();
+                reservation.not_run();
                 continue;
             };
             let call = Call {
@@ -198,7 +202,7 @@
                 body: self.prompt.for_engine(&self.adapter),
             };
             if self.core.now() >= grant.start_by {
-                place.not_run();
+                reservation.not_run();
                 continue;
             }
             match self.core.engines.open(&server.address, &call).await {
@@ -206,83 +210,92 @@
                     let waited = self.core.now().since(self.arrived);
                     self.core.metrics.start_wait.observe(waited.as_secs_f64());
                     self.waited.set(waited);
-                    let passed = self.pass_on(stream, &server.address, sink).await;
+                    let passed = self.forward_chunks(stream, &server.address, sink).await;
                     return Ok(match passed {
-                        Passed::Whole => {
-                            place.finish(true);
-                            Ended::Whole
+                        StreamOutcome::Whole => {
+                            reservation.finish(true);
+                            AttemptOutcome::Whole
                         }
-                        Passed::CallerGone => {
-                            place.cancel().await;
-                            Ended::Whole
+                        StreamOutcome::CallerGone => {
+                            reservation.cancel().await;
+                            AttemptOutcome::Whole
                         }
-                        Passed::Broken => Ended::Lost(grant.engine, lost()),
+                        StreamOutcome::Broken => AttemptOutcome::Lost(grant.engine, lost()),
                     });
                 }
                 Err(OpenError::Missing) => {
                     self.core.metrics.retries.with_label_values(&["missing"]).inc();
-                    place.missing();
+                    reservation.missing();
                 }
                 Err(OpenError::NotRun { why }) => {
                     log::info!(engine = grant.engine.as_str(), why = why.as_str(); "not-run");
                     self.core.metrics.retries.with_label_values(&["not-run"]).inc();
-                    place.not_run();
+                    reservation.not_run();
                 }
                 Err(OpenError::Rejected { why }) => {
-                    place.finish(true);
+                    reservation.finish(true);
                     return Err(Refusal::not_run(Reason::BackendRefused, why));
                 }
                 Err(OpenError::Unknown { why }) => {
                     let refusal = Refusal::unknown(Reason::BackendLost, why);
-                    return Ok(Ended::Lost(grant.engine, refusal));
+                    return Ok(AttemptOutcome::Lost(grant.engine, refusal));
                 }
             }
         }
     }
 
-    /// Claims the key once there is a place, so that it is used soon after.
-    async fn secure_key(&mut self) -> Result<(), Refusal> {
+    /// Claims the key only after the reservation is granted, so that it is used soon after.
+    async fn claim_key(&mut self) -> Result<(), Refusal> {
         if let Some((service, key)) = self.key.take() {
-            self.held_key = Some(HeldKey::claim(&self.core, &service, &key).await?);
+            self.claimed_key = Some(ClaimedKey::claim(&self.core, &service, &key).await?);
         }
-        match &self.held_key {
+        match &self.claimed_key {
             Some(key) => key.check(&self.core),
             None => Ok(()),
         }
     }
 
-    /// Passes chunks on; a stream that breaks is resumed at the same engine and nowhere else.
-    async fn pass_on(&self, mut stream: ChunkStream, address: &str, sink: &mut Sink) -> Passed {
+    /// Forwards chunks. A broken stream is resumed only at the same engine.
+    async fn forward_chunks(
+        &self,
+        mut stream: ChunkStream,
+        address: &str,
+        sink: &mut Sink,
+    ) -> StreamOutcome {
         let mut resumes = 0;
         loop {
             match stream.next().await {
                 Ok(chunk) if chunk.is_end() => {
                     self.core.metrics.chunks_dropped.inc_by(stream.dropped());
-                    return if sink.end().await { Passed::Whole } else { Passed::CallerGone };
+                    return if sink.end().await {
+                        StreamOutcome::Whole
+                    } else {
+                        StreamOutcome::CallerGone
+                    };
                 }
                 Ok(chunk) => {
                     if !sink.push(chunk).await {
-                        return Passed::CallerGone;
+                        return StreamOutcome::CallerGone;
                     }
                 }
                 Err(_) => {
                     self.core.metrics.chunks_dropped.inc_by(stream.dropped());
                     let resumed = self.resume(address, stream.into_check(), &mut resumes).await;
-                    let Some(resumed) = resumed else { return Passed::Broken };
+                    let Some(resumed) = resumed else { return StreamOutcome::Broken };
                     stream = resumed;
                 }
             }
         }
     }
 
-    /// Opens the stream again where it broke, unless the engine no longer knows it.
+    /// Reopens the stream where it broke, unless the engine no longer knows the request.
     async fn resume(
         &self,
         address: &str,
         check: ChunkCheck,
         resumes: &mut u32,
     ) -> Option<ChunkStream> {
-        while *resumes < RESUMES {
+        while *resumes < MAX_RESUMES {
             *resumes += 1;
             self.core.metrics.retries.with_label_values(&["resume"]).inc();
             actix_rt::time::sleep(RESUME_PAUSE * *resumes).await;
@@ -296,20 +309,20 @@
     }
 }
 
-/// How one place ended.
-enum Ended {
+/// The outcome of one attempt.
+enum AttemptOutcome {
     Whole,
     Lost(EngineName, Refusal),
 }
 
-/// How one stream ended.
-enum Passed {
+/// How the forwarding of a stream ended.
+enum StreamOutcome {
     Whole,
     CallerGone,
     Broken,
 }
 
-/// Tells how long the request waited for its start.
+/// Adds the header with the time from arrival to start.
 fn with_wait(mut reply: Reply, waited: Duration) -> Reply {
     let name = HeaderName::from_static(headers::WAIT);
     let value = HeaderValue::from(waited.as_millis() as u64);
@@ -318,5 +331,5 @@
 }
 
 fn lost() -> Refusal {
-    Refusal::unknown(Reason::BackendLost, "the engine was lost before the answer was whole")
+    Refusal::unknown(Reason::BackendLost, "the engine was lost before the response was complete")
 }
--- a/crates/portrack/src/daemon/core.rs
+++ b/crates/portrack/src/daemon/core.rs
@@ -1,4 +1,4 @@
-//! The daemon's shared state, and the way from inputs to effects.
+//! The daemon's shared state; feeds inputs to the node and executes its effects.
 
 use super::inflight::InFlight;
 use super::leases::Leases;
@@ -19,18 +19,18 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What a request that waits is told.
+/// A signal to a waiting request.
 #[derive(Debug)]
 pub enum Signal {
-    /// Start here.
+    /// Start with this grant.
     Start(Grant),
-    /// It is over.
+    /// Stop with this refusal.
     GiveUp(Refusal),
-    /// The idempotency key is settled, and must be used before the time.
+    /// The claim of the idempotency key has ended; a granted key must be used before the time.
     Key(KeyVerdict, Time),
 }
 
-/// Shared by all tasks of a daemon, on one thread.
+/// State shared by all tasks of a daemon, on one thread.
 pub struct Core {
     pub bootstrap: Bootstrap,
     pub clock: Rc<dyn Clock>,
@@ -55,8 +55,8 @@
     next_token: Cell<u64>,
 }
 
-/// The parts that a core is made of.
-pub struct Parts {
+/// Dependencies of a [`Core`].
+pub struct CoreDeps {
     pub bootstrap: Bootstrap,
     pub clock: Rc<dyn Clock>,
     pub node: Node,
@@ -66,8 +66,8 @@
 }
 
 impl Core {
-    pub fn new(parts: Parts) -> Rc<Self> {
-        let Parts { bootstrap, clock, node, base, link, operators } = parts;
+    pub fn new(parts: CoreDeps) -> Rc<Self> {
+        let CoreDeps { bootstrap, clock, node, base, link, operators } = parts;
         let etcd = Etcd::new(bootstrap.platform.key_value.clone());
         let kv: Rc<dyn Kv> = Rc::new(etcd.clone());
         let store = Store::new(kv.clone(), bootstrap.platform.prefix.clone());
@@ -99,29 +99,29 @@
         })
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub fn unix_ms(&self) -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Feeds the node and carries out what it wants done.
+    /// Feeds an input to the node and executes its effects.
     pub fn feed(self: &Rc<Self>, input: Input) {
         let began = Instant::now();
         let effects = self.node.borrow_mut().on(self.now(), input);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         let spent = u64::try_from(began.elapsed().as_micros()).unwrap_or(0);
         self.metrics.control_cpu.inc_by(spent);
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Send { to, body } => self.send(&to, body),
             Effect::Engine { engine, task } => self.engine_task(engine, task),
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A fresh token, and where its signals arrive.
+    /// Creates a token and the receiver of its signals.
     pub fn open_token(&self) -> (Token, UnboundedReceiver<Signal>) {
         let token = Token(self.next_token.get());
         self.next_token.set(token.0 + 1);
@@ -148,36 +148,36 @@
         (token, receiver)
     }
 
-    /// Forgets a token.
+    /// Removes a token.
     pub fn close_token(&self, token: Token) {
         self.waiting.borrow_mut().remove(&token);
     }
 
-    /// The settings that hold for a service in this hall.
+    /// The effective settings of a service in this hall.
     pub fn effective(&self, service: Option<&str>) -> Effective {
         let hall = Some(self.bootstrap.hall.to_string());
         let service = service.map(str::to_owned);
         self.book.borrow().effective(&Place { hall, class: None, service })
     }
 
-    /// A backend server's entry in the node list.
+    /// Returns a backend server's entry in the node list.
     pub fn server(&self, name: &EngineName) -> Option<BackendServer> {
         self.node.borrow().view().engine(name).map(|state| state.server.clone())
     }
 
-    /// Where the weight store keeps an adapter.
+    /// The location of an adapter in the weight store.
     pub fn weights(&self, adapter: &AdapterVersion) -> Option<String> {
         let book = self.book.borrow();
         let spec = book.adapters().get(&adapter.adapter)?;
         Some(spec.versions.get(&adapter.version)?.weights.clone())
     }
 
-    /// Notes that the key-value service has answered.
-    pub fn note_platform(&self) {
+    /// Records that the key-value service has responded.
+    pub fn record_platform_response(&self) {
         self.platform_seen.set(Some(self.now()));
     }
 
-    /// Refreshes everything that follows from the settings.
+    /// Updates all state that is derived from the settings.
     pub fn settings_changed(&self) {
         let effective = self.effective(None);
         self.node.borrow_mut().set_tunables(effective.tunables(&self.base));
--- a/crates/portrack/src/daemon/engines.rs
+++ b/crates/portrack/src/daemon/engines.rs
@@ -1,4 +1,4 @@
-//! Carries the node's wishes to engines.
+//! Executes the node's engine tasks.
 
 use super::core::Core;
 use crate::node::{EngineTask, Input};
@@ -16,7 +16,7 @@
                 EngineTask::Poll => core.poll(engine, &server).await,
                 EngineTask::RaiseFence(fence) => core.raise_fence(engine, &server, fence).await,
                 EngineTask::Order(order) => core.order(engine, &server, order).await,
-                EngineTask::LetGo => core.leases.let_go(&engine).await,
+                EngineTask::LetGo => core.leases.release(&engine).await,
             }
         });
     }
@@ -83,7 +83,7 @@
         self.engine_event(engine, Event::OrderDone { id: order.id, result });
     }
 
-    /// Looked at right before an order: an engine that checks nothing relies on it.
+    /// Checked right before an order: an engine that checks no fence relies on this check alone.
     fn may_order(&self, engine: &EngineName, server: &BackendServer) -> bool {
         checks_fence(server) || self.leases.may_order(self.now(), engine)
     }
--- a/crates/portrack/src/daemon/error.rs
+++ b/crates/portrack/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why a daemon does not start.
+//! Startup errors.
 
 use crate::settings::SettingsError;
 use crate::wire::KeyRingError;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Errors of the start.
+/// Why a daemon cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
@@ -15,21 +15,21 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system error.
         source: std::io::Error,
     },
-    /// A file that the settings name is bad.
+    /// A settings or token file is invalid.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// What is wrong.
+        /// The cause.
         source: SettingsError,
     },
-    /// The key file is bad.
+    /// The key file is invalid.
     #[snafu(display("{}: {source}", file.display()))]
     Keys {
         /// The file.
         file: PathBuf,
-        /// What is wrong.
+        /// The cause.
         source: KeyRingError,
     },
 }
--- a/crates/portrack/src/daemon/fetch.rs
+++ b/crates/portrack/src/daemon/fetch.rs
@@ -1,4 +1,4 @@
-//! Settings from daemon to daemon, over TCP.
+//! Fetches settings from other daemons over TCP, and serves such fetches.
 
 use super::core::Core;
 use crate::types::NodeName;
@@ -9,19 +9,19 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The longest wait for a whole exchange.
+/// Timeout of a whole fetch.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest ask taken, in bytes.
-const MAX_ASK: usize = 64 * 1024;
-/// Exchanges served at the same time.
-const SERVED_AT_ONCE: usize = 8;
+/// Largest request accepted, in bytes.
+const MAX_REQUEST: usize = 64 * 1024;
+/// Largest number of fetches served concurrently.
+const MAX_CONCURRENT_FETCHES: usize = 8;
 
 /// Why a fetch failed.
 #[derive(Debug)]
 pub enum FetchError {
     /// The connection broke.
     Broken,
-    /// What came is no frame of this cluster.
+    /// The received frame is invalid.
     Wire(WireError),
 }
 
@@ -43,7 +43,7 @@
         self.metrics.bytes_received.with_label_values(&[kind]).inc_by(received as u64);
     }
 
-    /// Asks another daemon for newer entries and takes them in. Returns how many were newer.
+    /// Fetches newer entries from another daemon and applies them. Returns how many were newer.
     pub(super) async fn fetch_from(self: &Rc<Self>, node: &NodeName) -> Option<usize> {
         let address = self.node.borrow().members().get(node)?.peer.address;
         let exchange = actix_rt::time::timeout(TIMEOUT, self.exchange(address)).await;
@@ -59,20 +59,21 @@
 
     async fn exchange(&self, address: SocketAddr) -> Result<FetchReply, FetchError> {
         let mut stream = TcpStream::connect(address).await.map_err(|_| FetchError::Broken)?;
-        let ask = FetchRequest { cluster: self.link.cluster(), have: self.book.borrow().have() };
-        let ask = seal_frame(&self.link.ring(), &ask).map_err(FetchError::Wire)?;
-        stream.write_all(&ask).await.map_err(|_| FetchError::Broken)?;
+        let request =
+            FetchRequest { cluster: self.link.cluster(), have: self.book.borrow().have() };
+        let request = seal_frame(&self.link.ring(), &request).map_err(FetchError::Wire)?;
+        stream.write_all(&request).await.map_err(|_| FetchError::Broken)?;
         let frame = read_frame(&mut stream, MAX_FRAME).await?;
-        self.count_settings(ask.len(), frame.len());
+        self.count_settings(request.len(), frame.len());
         open_frame(&self.link.ring(), &frame).map_err(FetchError::Wire)
     }
 
-    /// Answers fetches for ever.
+    /// Serves fetches until the task is aborted.
     pub(super) async fn serve_fetches(self: Rc<Self>, listener: TcpListener) {
         let serving = Rc::new(std::cell::Cell::new(0_usize));
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            if serving.get() >= SERVED_AT_ONCE {
+            if serving.get() >= MAX_CONCURRENT_FETCHES {
                 continue;
             }
             serving.set(serving.get() + 1);
@@ -88,12 +89,13 @@
     }
 
     async fn serve_fetch(&self, mut stream: TcpStream) -> Result<(), FetchError> {
-        let frame = read_frame(&mut stream, MAX_ASK).await?;
-        let ask: FetchRequest = open_frame(&self.link.ring(), &frame).map_err(FetchError::Wire)?;
-        if ask.cluster != self.link.cluster() {
+        let frame = read_frame(&mut stream, MAX_REQUEST).await?;
+        let request: FetchRequest =
+            open_frame(&self.link.ring(), &frame).map_err(FetchError::Wire)?;
+        if request.cluster != self.link.cluster() {
             return Err(FetchError::Wire(WireError::Cluster));
         }
-        let reply = FetchReply { entries: self.book.borrow().newer_than(&ask.have) };
+        let reply = FetchReply { entries: self.book.borrow().newer_than(&request.have) };
         let reply = seal_frame(&self.link.ring(), &reply).map_err(FetchError::Wire)?;
         stream.write_all(&reply).await.map_err(|_| FetchError::Broken)?;
         self.count_settings(reply.len(), frame.len());
--- a/crates/portrack/src/daemon/key.rs
+++ b/crates/portrack/src/daemon/key.rs
@@ -1,4 +1,4 @@
-//! A request's idempotency key, from its claim to its end.
+//! Claims and settles the idempotency key of a request.
 
 use super::core::{Core, Signal};
 use crate::node::Input;
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// When to come back if it cannot be told yet whether a key was used.
+/// Suggested retry delay if it cannot be determined yet whether a key was used.
 const MEMORY_RETRY: Duration = Duration::from_secs(2);
 
-/// A key that is this request's.
-pub struct HeldKey {
+/// An idempotency key claimed for a request.
+pub struct ClaimedKey {
     token: Token,
     use_by: Time,
 }
 
-impl HeldKey {
-    /// Claims a key, or says why the request may not be sent.
+impl ClaimedKey {
+    /// Claims a key, or returns why the request may not be sent.
     pub async fn claim(core: &Rc<Core>, service: &str, key: &str) -> Result<Self, Refusal> {
         let (token, mut signals) = core.open_token();
         let key = xxh3_128(format!("{service}\0{key}").as_bytes());
@@ -38,19 +38,20 @@
                 let detail = "a request with this idempotency key is running or has run";
                 Err(Refusal::unknown(Reason::DuplicateKey, detail))
             }
-            _ => Err(untold()),
+            _ => Err(key_state_unknown()),
         }
     }
 
-    /// Looked at right before the request is sent: after a pause the key may be another's.
+    /// Checked right before the request is sent: after a pause of this process, another request may
+    /// hold the key.
     pub fn check(&self, core: &Rc<Core>) -> Result<(), Refusal> {
         match core.now() < self.use_by {
             true => Ok(()),
-            false => Err(untold()),
+            false => Err(key_state_unknown()),
         }
     }
 
-    /// Lets go of the key if its request certainly was not run, and keeps it otherwise.
+    /// Frees the key if its request certainly did not run, and keeps it otherwise.
     pub fn settle(self, core: &Rc<Core>, run: Option<Run>) {
         let token = self.token;
         core.feed(match run {
@@ -60,7 +61,7 @@
     }
 }
 
-fn untold() -> Refusal {
-    let detail = "it cannot be told yet whether this idempotency key was used";
+fn key_state_unknown() -> Refusal {
+    let detail = "it cannot be determined yet whether this idempotency key was used";
     Refusal::not_run(Reason::KeyMemory, detail).after(MEMORY_RETRY)
 }
--- a/crates/portrack/src/daemon/leases.rs
+++ b/crates/portrack/src/daemon/leases.rs
@@ -1,4 +1,4 @@
-//! One lease in the key-value service for all owned engines that check no fence.
+//! The lease in the key-value service that protects all owned engines that check no fence.
 
 use crate::store::Kv;
 use crate::types::{Clock, EngineName, Fence, Time};
@@ -7,19 +7,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the lease lives without a renewal.
+/// Time to live of the lease.
 pub const LEASE_TTL: Duration = Duration::from_secs(30);
-/// Without a renewal for this long, orders stop.
-pub const ORDER_WITHIN: Duration = Duration::from_secs(15);
-/// Between renewals.
-pub const RENEW_EVERY: Duration = Duration::from_secs(10);
+/// No orders are sent once the last renewal is this old. Must be shorter than the lease lives.
+pub const MAX_RENEWAL_AGE: Duration = Duration::from_secs(15);
+/// Interval between renewals.
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Our hold on one engine.
+/// The lock that this daemon holds on one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLock {
     /// The revision at which the key was created.
     pub fence: Fence,
-    /// When the last renewal was sent that was answered.
+    /// When the last successful renewal was sent.
     pub renewed_at: Time,
 }
 
@@ -29,21 +29,21 @@
     renewed_at: Time,
 }
 
-/// The lease and the keys that hang on it.
+/// The lease and the keys attached to it.
 pub struct Leases {
     kv: Rc<dyn Kv>,
     prefix: String,
     owner: String,
     lease: Cell<Option<Lease>>,
-    /// Held while a lease is asked for, so that several engines share one.
+    /// Locked while a lease is requested, so that all engines share one lease.
     granting: tokio::sync::Mutex<()>,
     held: RefCell<BTreeMap<EngineName, Fence>>,
-    /// Keys that are still to be removed.
-    given_up: RefCell<BTreeMap<EngineName, Fence>>,
+    /// Released keys that are not removed yet.
+    to_remove: RefCell<BTreeMap<EngineName, Fence>>,
 }
 
 impl Leases {
-    /// No lease yet. Keys begin with `prefix`; `owner` names this daemon in them.
+    /// Starts without a lease. Keys begin with `prefix`; `owner` names this daemon in their values.
     pub fn new(kv: Rc<dyn Kv>, prefix: String, owner: String) -> Self {
         Self {
             kv,
@@ -52,7 +52,7 @@
             lease: Cell::new(None),
             granting: Default::default(),
             held: RefCell::default(),
-            given_up: RefCell::default(),
+            to_remove: RefCell::default(),
         }
     }
 
@@ -60,7 +60,7 @@
         format!("{}owners/{engine}", self.prefix)
     }
 
-    /// Takes the key of an engine, which its last owner's lease must have let go of.
+    /// Creates the key of an engine. Fails while the previous owner's lease still holds it.
     pub async fn acquire(&self, clock: &dyn Clock, engine: &EngineName) -> Option<Fence> {
         let lease = self.ensure_lease(clock).await?;
         if let Some(fence) = self.held.borrow().get(engine) {
@@ -70,24 +70,25 @@
         let created = self.kv.create_leased(&self.key(engine), value, lease.id).await;
         let fence = match created {
             Ok(Some(revision)) => Fence(revision),
-            Ok(None) | Err(_) => self.ours(engine, lease.id).await?,
+            Ok(None) | Err(_) => self.find_own_key(engine, lease.id).await?,
         };
         let same_lease = self.lease.get().is_some_and(|current| current.id == lease.id);
         if !same_lease {
             return None;
         }
-        self.given_up.borrow_mut().remove(engine);
+        self.to_remove.borrow_mut().remove(engine);
         self.held.borrow_mut().insert(engine.clone(), fence);
         Some(fence)
     }
 
-    /// Names the holder and the lease, so that a lost answer can be looked up.
+    /// The value names the holder and the lease, so that the outcome of a create call whose response
+    /// was lost can be read back.
     fn value(&self, lease: u64) -> Vec<u8> {
         format!("{} {lease}", self.owner).into_bytes()
     }
 
-    /// After a lost answer: the key is ours if it names us and the lease that we hold.
-    async fn ours(&self, engine: &EngineName, lease: u64) -> Option<Fence> {
+    /// After a lost response: the key is held if its value names this daemon and the current lease.
+    async fn find_own_key(&self, engine: &EngineName, lease: u64) -> Option<Fence> {
         let held = self.kv.get(&self.key(engine)).await.ok()??;
         (held.value == self.value(lease)).then_some(Fence(held.revision))
     }
@@ -95,7 +96,7 @@
     async fn ensure_lease(&self, clock: &dyn Clock) -> Option<Lease> {
         let _granting = self.granting.lock().await;
         if let Some(lease) = self.lease.get()
-            && clock.now().since(lease.renewed_at) < ORDER_WITHIN
+            && clock.now().since(lease.renewed_at) < MAX_RENEWAL_AGE
         {
             return Some(lease);
         }
@@ -107,26 +108,26 @@
         Some(lease)
     }
 
-    /// Gives the key of an engine up, so that its next owner need not wait for the lease to lapse.
-    pub async fn let_go(&self, engine: &EngineName) {
+    /// Removes the key of an engine, so that the next owner need not wait until the lease expires.
+    pub async fn release(&self, engine: &EngineName) {
         let Some(fence) = self.held.borrow_mut().remove(engine) else { return };
-        self.given_up.borrow_mut().insert(engine.clone(), fence);
-        self.remove_given_up().await;
+        self.to_remove.borrow_mut().insert(engine.clone(), fence);
+        self.remove_released().await;
     }
 
-    async fn remove_given_up(&self) {
-        let given_up: Vec<_> =
-            self.given_up.borrow().iter().map(|(e, fence)| (e.clone(), *fence)).collect();
-        for (engine, fence) in given_up {
+    async fn remove_released(&self) {
+        let to_remove: Vec<_> =
+            self.to_remove.borrow().iter().map(|(e, fence)| (e.clone(), *fence)).collect();
+        for (engine, fence) in to_remove {
             if self.kv.remove(&self.key(&engine), fence.0).await.is_ok() {
-                self.given_up.borrow_mut().remove(&engine);
+                self.to_remove.borrow_mut().remove(&engine);
             }
         }
     }
 
-    /// Renews the lease; one that lapsed takes every hold with it.
+    /// Renews the lease. An expired lease ends every lock.
     pub async fn renew(&self, clock: &dyn Clock) {
-        self.remove_given_up().await;
+        self.remove_released().await;
         let Some(lease) = self.lease.get() else { return };
         let sent_at = clock.now();
         match self.kv.renew_lease(lease.id).await {
@@ -139,20 +140,20 @@
         }
     }
 
-    /// Our hold on an engine, if there is one.
+    /// Returns the lock on an engine, if it is held.
     pub fn lock_of(&self, engine: &EngineName) -> Option<HeldLock> {
         let fence = *self.held.borrow().get(engine)?;
         let renewed_at = self.lease.get()?.renewed_at;
         Some(HeldLock { fence, renewed_at })
     }
 
-    /// True while an order to this engine is safe.
+    /// Whether an order to this engine is safe now.
     pub fn may_order(&self, now: Time, engine: &EngineName) -> bool {
-        let recent = |lock: HeldLock| now.since(lock.renewed_at) < ORDER_WITHIN;
+        let recent = |lock: HeldLock| now.since(lock.renewed_at) < MAX_RENEWAL_AGE;
         self.lock_of(engine).is_some_and(recent)
     }
 
-    /// Lets go of everything, so that a successor need not wait.
+    /// Revokes the lease, so that the next owners need not wait.
     pub async fn revoke(&self) {
         if let Some(lease) = self.lease.take() {
             self.held.borrow_mut().clear();
--- a/crates/portrack/src/daemon/logging.rs
+++ b/crates/portrack/src/daemon/logging.rs
@@ -1,4 +1,4 @@
-//! One line of key=value pairs for each event.
+//! Log output: one line of key=value pairs per event.
 
 use crate::settings::LogSettings;
 use log::kv::{Error, Key, Value, VisitSource};
@@ -35,7 +35,7 @@
         })
 }
 
-/// Sends log lines where the settings say. Call once a process.
+/// Sends log lines to the configured target. Call once per process.
 pub fn init(settings: &LogSettings) -> Result<(), String> {
     let dispatch = lines(settings.level);
     let dispatch = match settings.target.as_str() {
@@ -46,7 +46,7 @@
     dispatch.apply().map_err(|e| e.to_string())
 }
 
-/// Sends log lines to a writer of the caller's. Call once a process.
+/// Sends log lines to the given writer. Call once per process.
 pub fn init_to(out: Box<dyn std::io::Write + Send>) -> Result<(), String> {
     lines(log::LevelFilter::Info).chain(out).apply().map_err(|e| e.to_string())
 }
--- a/crates/portrack/src/daemon/metrics.rs
+++ b/crates/portrack/src/daemon/metrics.rs
@@ -1,9 +1,9 @@
-//! Everything the daemon counts.
+//! Metrics of the daemon.
 
 use crate::metrics::{self, MetricMaker};
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge, Registry};
 
-/// What all names begin with.
+/// Prefix of all metric names.
 const PREFIX: &str = "portrack_";
 /// Buckets of waiting times, in seconds.
 const WAIT_BUCKETS: [f64; 12] =
@@ -12,13 +12,13 @@
 /// The metrics of one daemon.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub requests: IntCounterVec,
     /// Refusals by reason and `run`.
     pub refusals: IntCounterVec,
     /// Requests sent again, by kind.
     pub retries: IntCounterVec,
-    /// Chunks dropped because they were repeated or foreign.
+    /// Chunks dropped because they were repeated or of another request.
     pub chunks_dropped: IntCounter,
     /// From the arrival of a request to its start on an engine, in seconds.
     pub start_wait: Histogram,
@@ -42,7 +42,7 @@
     pub engines_owned: IntGauge,
     /// Orders given to engines, by kind and result.
     pub orders: IntCounterVec,
-    /// Requests being worked on.
+    /// Requests in flight.
     pub in_flight: IntGauge,
     /// Processor time spent in decisions and control messages, in microseconds.
     pub control_cpu: IntCounter,
@@ -53,7 +53,7 @@
 }
 
 impl Metrics {
-    /// Metrics that are all zero.
+    /// Creates metrics that are all zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let made = MetricMaker { registry: &registry, prefix: PREFIX, buckets: &WAIT_BUCKETS };
@@ -85,7 +85,7 @@
         }
     }
 
-    /// All metrics in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         metrics::text(&self.registry)
     }
--- a/crates/portrack/src/daemon/operators.rs
+++ b/crates/portrack/src/daemon/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener.
+//! Request handler of the listener for operators.
 
 use super::core::Core;
 use crate::http::{self, Limits, Reply, read_body};
@@ -10,15 +10,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest change taken, in bytes.
+/// Largest change accepted, in bytes.
 const MAX_CHANGE: usize = 1024 * 1024;
 
-/// Limits of this listener.
+/// Limits of the listener for operators.
 pub fn limits() -> Limits {
     Limits { connections: 64, ..Limits::default() }
 }
 
-/// Answers an operator.
+/// Handles a request from an operator.
 pub async fn answer(core: Rc<Core>, mut request: Request) -> Reply {
     let header = request.headers().get("authorization").and_then(|v| v.to_str().ok());
     let Some(operator) = core.operators.identify(header) else {
@@ -48,7 +48,7 @@
     http::json(status, &json!({ "error": what }))
 }
 
-/// Query parameters; the paths used here need no escapes beyond `%2F` and `%3A`.
+/// Parses query parameters. Settings paths need no escapes except `%2F` and `%3A`.
 fn query(text: &str) -> BTreeMap<String, String> {
     let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
     let plain = |text: &str| {
@@ -58,7 +58,7 @@
     pairs.map(|(key, value)| (key.to_owned(), plain(value))).collect()
 }
 
-fn place(query: &BTreeMap<String, String>) -> Result<TreePath, Reply> {
+fn tree_path(query: &BTreeMap<String, String>) -> Result<TreePath, Reply> {
     let path = query.get("path").map_or("fleet", String::as_str);
     path.parse().map_err(|e| error(StatusCode::BAD_REQUEST, &format!("{path}: {e}")))
 }
@@ -68,14 +68,14 @@
     if !query.contains_key("path") {
         return http::json(StatusCode::OK, book.tree());
     }
-    match place(query) {
+    match tree_path(query) {
         Ok(path) => http::json(StatusCode::OK, &book.tree().get(&path)),
         Err(reply) => reply,
     }
 }
 
 fn explain(core: &Rc<Core>, query: &BTreeMap<String, String>) -> Reply {
-    let path = match place(query) {
+    let path = match tree_path(query) {
         Ok(path) => path,
         Err(reply) => return reply,
     };
@@ -121,7 +121,7 @@
     log_change(&operator, &change, &result);
     match result {
         Ok(accepted) => {
-            core.note_platform();
+            core.record_platform_response();
             core.refresh_soon();
             http::json(StatusCode::OK, &accepted)
         }
--- a/crates/portrack/src/daemon/peers.rs
+++ b/crates/portrack/src/daemon/peers.rs
@@ -9,10 +9,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A little more than the largest datagram, so that a longer one is noticed.
+/// One byte more than the largest datagram, so that an oversized one is detected.
 const BUFFER: usize = wire::MAX_DATAGRAM + 1;
 
-/// The socket and what goes with it.
+/// The UDP socket with its keys and sequence numbers.
 pub struct Link {
     socket: UdpSocket,
     ring: RefCell<KeyRing>,
@@ -40,7 +40,7 @@
         self.ring.borrow().clone()
     }
 
-    /// Takes changed keys.
+    /// Replaces the keys.
     pub fn set_ring(&self, ring: KeyRing) {
         *self.ring.borrow_mut() = ring;
     }
@@ -61,7 +61,7 @@
 }
 
 impl Core {
-    /// Sends a datagram. It may get lost, as any datagram may.
+    /// Sends a datagram. Delivery is not guaranteed.
     pub(super) fn send(&self, to: &NodeName, body: Message) {
         let node = self.node.borrow();
         let Some(member) = node.members().get(to) else { return };
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes datagrams in for ever.
+    /// Receives datagrams until the task is aborted.
     pub(super) async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; BUFFER];
         loop {
--- a/crates/portrack/src/daemon/plain.rs
+++ b/crates/portrack/src/daemon/plain.rs
@@ -1,9 +1,9 @@
-//! Requests to plain services: routed by path, and sent at most once unless they may be repeated.
+//! Forwards requests to plain services: routed by path, and sent at most once unless repeatable.
 
 use super::callers::refuse;
 use super::core::Core;
 use super::inflight::InFlightGuard;
-use super::key::HeldKey;
+use super::key::ClaimedKey;
 use crate::http::{Meta, Reply, certainly_not_sent, read_body};
 use crate::router::BackendServer;
 use crate::settings::PlainService;
@@ -17,15 +17,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest pause between parts of a caller's body.
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
-/// The longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
-/// The largest answer passed on, in bytes.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
-/// Servers tried for one request.
-const SERVERS: usize = 3;
-/// Headers of one connection only; never passed on.
+/// Largest pause between two parts of a caller's body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest response forwarded, in bytes.
+const MAX_RESPONSE: usize = 32 * 1024 * 1024;
+/// Largest number of servers tried for one request.
+const MAX_SERVERS_TRIED: usize = 3;
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -38,7 +38,7 @@
     "content-length",
 ];
 
-/// One request, ready to be sent.
+/// A request that is ready to be sent.
 struct Forward {
     core: Rc<Core>,
     service: ServiceName,
@@ -51,15 +51,15 @@
     _in_flight: InFlightGuard,
 }
 
-/// Why one try failed.
+/// Why one attempt failed.
 enum SendError {
-    /// Not a byte was handed to a connection.
+    /// No byte was written to a connection.
     NotSent(String),
-    /// The server may have run it.
+    /// The server may have run the request.
     Unknown(String),
 }
 
-/// Answers a request whose path belongs to a plain service.
+/// Handles a request whose path belongs to a plain service.
 pub async fn forward(
     core: Rc<Core>,
     name: ServiceName,
@@ -86,11 +86,11 @@
 ) -> Result<Reply, Refusal> {
     let meta = Meta::parse(request.headers())?;
     let settings = core.effective(Some(name.as_str()));
-    let body = read_body(request, settings.body_limit(), BODY_PATIENCE).await?;
+    let body = read_body(request, settings.body_limit(), BODY_READ_TIMEOUT).await?;
     let method = request.method().clone();
     let repeatable = meta.repeatable.unwrap_or_else(|| service.is_repeatable(method.as_str()));
     let key = match (&meta.key, repeatable) {
-        (Some(key), false) => Some(HeldKey::claim(core, name.as_str(), key).await?),
+        (Some(key), false) => Some(ClaimedKey::claim(core, name.as_str(), key).await?),
         _ => None,
     };
     core.retries.borrow_mut().record_request();
@@ -99,7 +99,7 @@
         service: name,
         method,
         target: request.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned(),
-        headers: passed_on(request.headers()),
+        headers: forwarded_headers(request.headers()),
         body,
         repeatable,
         timeout: meta.deadline.unwrap_or_else(|| settings.deadline()),
@@ -112,7 +112,7 @@
     result
 }
 
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::new();
     for (name, value) in headers.iter() {
         if !HOP_BY_HOP.contains(&name.as_str()) && name.as_str() != "host" {
@@ -123,11 +123,11 @@
 }
 
 impl Forward {
-    /// Tries servers. After a byte has been handed over, only a repeatable request goes on.
-    async fn run(&self, key: Option<&HeldKey>) -> Result<Reply, Refusal> {
+    /// Tries servers in turn. Once a byte has been written, only a repeatable request is tried again.
+    async fn run(&self, key: Option<&ClaimedKey>) -> Result<Reply, Refusal> {
         let mut tried: Vec<EngineName> = Vec::new();
-        let mut last = Refusal::not_run(Reason::NoBackend, "no server of the service can be had");
-        while tried.len() < SERVERS {
+        let mut last = Refusal::not_run(Reason::NoBackend, "no server of the service is available");
+        while tried.len() < MAX_SERVERS_TRIED {
             let Some(server) = self.choose(&tried) else { break };
             if let Some(key) = key {
                 key.check(&self.core)?;
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Any server of this hall that is not left alone, else any of another hall.
+    /// Chooses a random usable server, of this hall if it has any untried server.
     fn choose(&self, tried: &[EngineName]) -> Option<BackendServer> {
         let node = self.core.node.borrow();
         let mut servers = node.view().service(&self.service);
@@ -188,9 +188,9 @@
         }
         let sent = request.send_body(self.body.clone()).await;
         let mut response = sent.map_err(send_error)?;
-        let body = response.body().limit(MAX_ANSWER).await;
+        let body = response.body().limit(MAX_RESPONSE).await;
         let body = body.map_err(|e| SendError::Unknown(e.to_string()))?;
-        if self.is_worth_repeating(response.status()) {
+        if self.is_retryable(response.status()) {
             return Err(SendError::Unknown(response.status().to_string()));
         }
         let mut builder = Response::build(response.status());
@@ -202,17 +202,17 @@
         Ok(builder.body(body).map_into_boxed_body())
     }
 
-    fn is_worth_repeating(&self, status: StatusCode) -> bool {
+    fn is_retryable(&self, status: StatusCode) -> bool {
         let passing =
             [StatusCode::BAD_GATEWAY, StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
         self.repeatable && passing.contains(&status)
     }
 }
 
-/// A connection is never reused: a request on one that the server was just closing could not be
-/// told from a request that ran.
+/// Connections are never reused: if the server closes a reused connection, the client cannot tell
+/// whether the request ran.
 fn client(timeout: Duration) -> Client {
-    let connector = Connector::new().timeout(CONNECT).conn_keep_alive(Duration::ZERO);
+    let connector = Connector::new().timeout(CONNECT_TIMEOUT).conn_keep_alive(Duration::ZERO);
     Client::builder()
         .connector(connector)
         .timeout(timeout)
--- a/crates/portrack/src/daemon/prompt.rs
+++ b/crates/portrack/src/daemon/prompt.rs
@@ -6,15 +6,15 @@
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of the prompt that decide on prefix affinity.
+/// Length of the prompt prefix used for prefix affinity, in bytes.
 const PREFIX_LEN: usize = 512;
 
-/// A parsed body.
+/// A parsed request body.
 pub struct Prompt {
     body: Map<String, Value>,
-    /// The adapter it names.
+    /// The requested adapter.
     pub adapter: AdapterName,
-    /// The version it names, if any.
+    /// The requested version, if any.
     pub version: Option<VersionName>,
     /// Whether the caller wants a stream.
     pub stream: bool,
@@ -23,13 +23,13 @@
 }
 
 impl Prompt {
-    /// Reads a body, or says what is wrong.
+    /// Parses a body, or returns what is wrong with it.
     pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, Refusal> {
-        let body: Map<String, Value> =
-            serde_json::from_slice(body).map_err(|e| bad(format!("the body is no JSON: {e}")))?;
+        let body: Map<String, Value> = serde_json::from_slice(body)
+            .map_err(|e| bad(format!("the body is not a JSON object: {e}")))?;
         let model = match body.get("model") {
             Some(Value::String(model)) => model.clone(),
-            _ => return Err(bad("the body needs a text field \"model\"")),
+            _ => return Err(bad("the body needs a string field \"model\"")),
         };
         let (adapter, version) = match model.split_once('@') {
             Some((adapter, version)) => (adapter, Some(version)),
@@ -57,7 +57,7 @@
         Ok(Self { adapter, version, stream, prefix, body })
     }
 
-    /// The body for the engine: always a stream, of one exact adapter version.
+    /// Returns the body for the engine: always streaming, with an exact adapter version.
     pub fn for_engine(&self, adapter: &AdapterVersion) -> Bytes {
         let mut body = self.body.clone();
         body.insert("model".into(), Value::String(adapter.to_string()));
--- a/crates/portrack/src/daemon/place.rs
+++ b/crates/portrack/src/daemon/reservation.rs
@@ -1,4 +1,4 @@
-//! A request's place on an engine, given back whatever happens.
+//! Reservation of a request on an engine; always released when dropped.
 
 use super::core::{Core, Signal};
 use crate::node::Input;
@@ -7,23 +7,23 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Seeks a place, holds it, and gives it back when dropped.
-pub struct Place {
+/// Requests a reservation, holds it, and releases it when dropped.
+pub struct Reservation {
     core: Rc<Core>,
     token: Token,
     signals: UnboundedReceiver<Signal>,
     held: Option<Grant>,
 }
 
-impl Place {
-    /// Begins to seek.
-    pub fn seek(core: &Rc<Core>, spec: Spec) -> Self {
+impl Reservation {
+    /// Starts to request a reservation.
+    pub fn request(core: &Rc<Core>, spec: Spec) -> Self {
         let (token, signals) = core.open_token();
         core.feed(Input::Begin { token, spec });
         Self { core: core.clone(), token, signals, held: None }
     }
 
-    /// Waits for a place that can still be started in time.
+    /// Waits for a grant that can still be used in time.
     pub async fn granted(&mut self) -> Result<Grant, Refusal> {
         loop {
             match self.signals.recv().await {
@@ -41,30 +41,30 @@
         }
     }
 
-    /// The engine did not run the request: seek another place.
+    /// The engine did not run the request: releases the grant and requests another.
     pub fn not_run(&mut self) {
-        self.give_back(false);
+        self.release(false);
     }
 
-    /// The engine does not hold the adapter, which its owner has to hear.
+    /// Like `not_run`, and reports to the owner that the adapter is not loaded.
     pub fn missing(&mut self) {
-        self.give_back(true);
+        self.release(true);
     }
 
-    fn give_back(&mut self, missing: bool) {
+    fn release(&mut self, missing: bool) {
         let Some(grant) = self.held.take() else { return };
         let (token, engine, id) = (self.token, grant.engine, grant.id);
         self.core.feed(Input::NotRun { token, engine, id, missing });
     }
 
-    /// The request is over; `ended` says that the engine certainly runs nothing of it.
+    /// The request is over; `ended` states that the engine has certainly stopped running it.
     pub fn finish(&mut self, ended: bool) {
         let Some(grant) = self.held.take() else { return };
         let (token, engine, id) = (self.token, grant.engine, grant.id);
         self.core.feed(Input::Finished { token, engine, id, ended });
     }
 
-    /// Cancels at the engine, then gives the place back.
+    /// Cancels the request at the engine, then releases the grant.
     pub async fn cancel(&mut self) {
         let Some(grant) = self.held.clone() else { return };
         let ended = cancel(&self.core, &grant).await;
@@ -77,8 +77,8 @@
     core.engines.cancel(&server.address, grant.id).await
 }
 
-impl Drop for Place {
-    /// The caller has gone, or the request is over.
+impl Drop for Reservation {
+    /// Runs when the caller disconnects or the request is over.
     fn drop(&mut self) {
         self.core.close_token(self.token);
         let (core, token) = (self.core.clone(), self.token);
--- a/crates/portrack/src/daemon/running.rs
+++ b/crates/portrack/src/daemon/running.rs
@@ -1,6 +1,6 @@
-//! Starting and stopping a daemon.
+//! Starts and stops a daemon.
 
-use super::core::{Core, Parts};
+use super::core::{Core, CoreDeps};
 use super::error::{KeysSnafu, ListenSnafu, StartError};
 use super::peers::Link;
 use super::status::StatusReport;
@@ -20,18 +20,18 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Between ticks of the decisions.
+/// Interval between ticks of the node.
 const TICK: Duration = Duration::from_millis(50);
-/// Between looks at the key file.
+/// Interval between reads of the key file.
 const KEYS_EVERY: Duration = Duration::from_secs(5);
-/// Between samples of processor time and memory.
+/// Interval between samples of processor time and memory.
 const SAMPLE_EVERY: Duration = Duration::from_secs(5);
-/// After the start, before callers are told that this node is ready.
+/// Delay after the start before this node reports ready.
 const READY_AFTER: Duration = Duration::from_millis(500);
-/// A stopping node still takes new requests for this long, until the balancer has noticed.
+/// A stopping node accepts new requests for this long, until the load balancer has noticed.
 const STOP_GRACE: Duration = Duration::from_secs(3);
-/// Between looks at the requests in flight while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks of the requests in flight while stopping.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running daemon. It must stay on the thread that started it.
 pub struct Running {
@@ -43,7 +43,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Starts a daemon with the given settings, clock and built-in numbers.
+/// Starts a daemon with the given settings, clock and default parameters.
 pub async fn start(
     bootstrap: Bootstrap,
     clock: Rc<dyn Clock>,
@@ -65,7 +65,7 @@
         local(&callers_listener, bootstrap.callers),
         local(&operators_listener, bootstrap.operators),
     );
-    let core = Core::new(Parts { bootstrap, clock, node, base, link, operators });
+    let core = Core::new(CoreDeps { bootstrap, clock, node, base, link, operators });
     log::info!(
         node = core.bootstrap.node.as_str(), hall = core.bootstrap.hall.as_str(),
         callers:% = addresses.0, operators:% = addresses.1, members:% = members;
@@ -104,7 +104,8 @@
     KeyRing::parse(&text).context(KeysSnafu { file })
 }
 
-/// The incarnation is the wall clock's milliseconds: a node without a disk has nothing better.
+/// The incarnation is the wall clock in milliseconds, since a node without a disk cannot store a
+/// counter.
 fn new_node(
     bootstrap: &Bootstrap,
     members: SocketAddr,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Takes changed keys without a stop. A bad file leaves the old keys in use.
+/// Reloads changed keys without a restart. If the file is invalid, the old keys stay in use.
 async fn follow_keys(core: Rc<Core>) {
     loop {
         actix_rt::time::sleep(KEYS_EVERY).await;
@@ -178,7 +179,7 @@
 
 async fn renew_leases(core: Rc<Core>) {
     loop {
-        actix_rt::time::sleep(leases::RENEW_EVERY).await;
+        actix_rt::time::sleep(leases::RENEW_INTERVAL).await;
         core.leases.renew(core.clock.as_ref()).await;
     }
 }
@@ -186,13 +187,13 @@
 async fn sample(core: Rc<Core>) {
     loop {
         core.sample();
-        core.tell_settings();
+        core.report_settings();
         actix_rt::time::sleep(SAMPLE_EVERY).await;
     }
 }
 
 impl Core {
-    /// Brings the sampled metrics up to date.
+    /// Updates the sampled metrics.
     pub(super) fn sample(&self) {
         let metrics = &self.metrics;
         let whole = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
@@ -204,7 +205,7 @@
         metrics.resident.set(whole(resident_bytes()));
     }
 
-    /// Begins the planned stop: engines are handed over, callers are told to go elsewhere.
+    /// Begins the planned stop: hands over the engines and reports not ready.
     pub(super) fn leave(self: &Rc<Self>) {
         if self.leaving.replace(true) {
             return;
@@ -216,7 +217,7 @@
     }
 }
 
-/// Resident memory by `/proc`; zero where there is none.
+/// Resident memory from `/proc`, or zero without `/proc`.
 fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
@@ -224,35 +225,35 @@
 }
 
 impl Running {
-    /// Where callers come in.
+    /// Address of the listener for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators come in.
+    /// Address of the listener for operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other daemons come in.
+    /// Address for other daemons.
     pub fn members(&self) -> SocketAddr {
         self.members
     }
 
-    /// What `portrack status` would show.
+    /// The report that `portrack status` shows.
     pub fn status(&self) -> StatusReport {
         self.core.status()
     }
 
-    /// Resolves once a planned stop was asked for over the operators' listener.
+    /// Resolves once a planned stop is requested on the operators' listener.
     pub async fn drain_requested(&self) {
         while !self.core.leaving.get() {
-            actix_rt::time::sleep(STOP_LOOK).await;
+            actix_rt::time::sleep(STOP_CHECK_INTERVAL).await;
         }
     }
 
-    /// The planned stop: takes requests until the balancer has noticed, then finishes what is in
-    /// flight. Returns the requests that were still running at the end of the patience.
+    /// Performs the planned stop: accepts requests until the load balancer has noticed, then waits
+    /// for the requests in flight. Returns how many still ran when the drain time ended.
     pub async fn stop(self) -> usize {
         self.core.leave();
         actix_rt::time::sleep(STOP_GRACE).await;
@@ -260,7 +261,7 @@
         let [callers, operators] = [0, 1].map(|at| &self.listeners[at]);
         callers.abort();
         while self.core.in_flight.count() > 0 && self.core.now() < until {
-            actix_rt::time::sleep(STOP_LOOK).await;
+            actix_rt::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         let left = self.core.in_flight.count();
         operators.abort();
@@ -269,7 +270,7 @@
         left
     }
 
-    /// Ends at once, as a crash would.
+    /// Aborts all tasks at once, as in a crash.
     pub fn halt(&self) {
         for task in self.listeners.iter().chain(&self.tasks) {
             task.abort();
--- a/crates/portrack/src/daemon/sink.rs
+++ b/crates/portrack/src/daemon/sink.rs
@@ -1,4 +1,4 @@
-//! Where the chunks of an answer go: on to the caller, or together into one answer.
+//! Destination of the chunks of a response: streamed to the caller, or assembled into one response.
 
 use super::answer::Answer;
 use crate::engine::{Chunk, Endpoint};
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use tokio::sync::mpsc::Sender;
 
-/// Where chunks go.
+/// Destination of chunks.
 pub enum Sink {
     Stream { sender: Sender<Result<Bytes, std::io::Error>>, forwarded: bool },
     Whole(Answer),
 }
 
 impl Sink {
-    /// Takes a chunk. False if nobody wants it any more.
+    /// Accepts a chunk. Returns false if the caller is gone.
     pub async fn push(&mut self, chunk: Chunk) -> bool {
         match self {
             Self::Whole(answer) => answer.push(&chunk.data),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Ends a whole answer. False if nobody wants it any more.
+    /// Ends a complete response. Returns false if the caller is gone.
     pub async fn end(&mut self) -> bool {
         match self {
             Self::Whole(_) => true,
@@ -35,19 +35,19 @@
         }
     }
 
-    /// True once a caller has got a part of the answer.
+    /// Whether any part of the response was forwarded to the caller.
     pub fn forwarded(&self) -> bool {
         matches!(self, Self::Stream { forwarded: true, .. })
     }
 
-    /// Forgets what an unfinished answer left behind: answers of two engines are never joined.
+    /// Discards an unfinished response: responses of two engines are never combined.
     pub fn restart(&mut self, endpoint: Endpoint) {
         if let Self::Whole(answer) = self {
             *answer = Answer::new(endpoint);
         }
     }
 
-    /// Tells the caller that there is no whole answer.
+    /// Reports to the caller that the response is not complete.
     pub async fn fail(self, refusal: Refusal, refused: tokio::sync::oneshot::Sender<Refusal>) {
         let Self::Stream { sender, forwarded: true } = self else {
             let _ = refused.send(refusal);
--- a/crates/portrack/src/daemon/status.rs
+++ b/crates/portrack/src/daemon/status.rs
@@ -1,4 +1,4 @@
-//! What `portrack status` shows.
+//! The status report that `portrack status` shows.
 
 use super::core::Core;
 use crate::membership::Health;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Another daemon as this one sees it.
+/// The state of another daemon as seen by this one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its node.
@@ -15,15 +15,15 @@
     pub hall: String,
     /// `unheard`, `alive`, `suspect` or `dead`.
     pub health: String,
-    /// True once it is leaving.
+    /// Whether it is leaving.
     pub leaving: bool,
     /// Revision of its settings.
     pub revision: u64,
-    /// Whether it sees the platform.
+    /// Whether the platform's key-value service answers it.
     pub platform: bool,
-    /// Engines that it owns, as far as known here.
+    /// Engines that it is known to own.
     pub engines: Vec<String>,
-    /// Milliseconds since it was heard.
+    /// Milliseconds since its last heartbeat.
     pub silent_ms: u64,
 }
 
@@ -32,30 +32,30 @@
 pub struct OwnedStatus {
     /// Its name.
     pub engine: String,
-    /// The fence it is held under.
+    /// The fence under which it is owned.
     pub fence: u64,
     /// Whether the engine has accepted it.
     pub serving: bool,
-    /// Adapters that can be used.
+    /// Adapters that are loaded.
     pub ready: Vec<String>,
     /// Adapters being loaded.
     pub loading: Vec<String>,
     /// Pins held.
     pub pins: usize,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
 }
 
-/// The whole report.
+/// The status report of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
     /// This node.
     pub node: String,
     /// Its data hall.
     pub hall: String,
-    /// Grows with every start.
+    /// Incarnation; grows with every start.
     pub incarnation: u64,
-    /// Whether callers are taken.
+    /// Whether requests of callers are accepted.
     pub ready: bool,
     /// Whether a planned stop has begun.
     pub leaving: bool,
@@ -65,11 +65,11 @@
     pub digest: String,
     /// Entries that this build could not use.
     pub refused_entries: Vec<String>,
-    /// Whether the platform's key-value service is seen.
+    /// Whether the platform's key-value service answers.
     pub platform: bool,
     /// Whether this daemon watches it.
     pub watcher: bool,
-    /// Requests being worked on.
+    /// Requests in flight.
     pub in_flight: usize,
     /// Engines owned.
     pub owned: Vec<OwnedStatus>,
@@ -78,7 +78,7 @@
 }
 
 impl Core {
-    /// The report now.
+    /// Returns the current report.
     pub fn status(self: &Rc<Self>) -> StatusReport {
         let node = self.node.borrow();
         let book = self.book.borrow();
--- a/crates/portrack/src/daemon/sync.rs
+++ b/crates/portrack/src/daemon/sync.rs
@@ -1,5 +1,5 @@
-//! Keeps the settings in force: two daemons a hall watch the key-value service, the others fetch
-//! from whoever has newer ones.
+//! Keeps the settings up to date: two daemons per hall watch the key-value service, the others fetch
+//! from daemons with newer settings.
 
 use super::core::Core;
 use crate::membership::Member;
@@ -12,21 +12,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long one watch waits.
-const WATCH: Duration = Duration::from_secs(25);
-/// Between looks at the other daemons' settings.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// A new daemon asks the others for this long before it asks the platform itself.
-const PEERS_FIRST: Duration = Duration::from_millis(1_500);
-/// First pause after a failed call; doubles up to the cap, with jitter.
-const PAUSE: Duration = Duration::from_millis(500);
-/// The longest pause after failed calls.
-const PAUSE_CAP: Duration = Duration::from_secs(10);
-/// The platform counts as seen if it answered within this.
+/// Timeout of one watch call.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
+/// Interval between checks for daemons with newer settings.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// A new daemon fetches only from other daemons for this long before it calls the platform.
+const PLATFORM_DELAY: Duration = Duration::from_millis(1_500);
+/// First pause after a failed call; doubles up to `MAX_RETRY_PAUSE`, with jitter.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Largest pause after failed calls, before jitter.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(10);
+/// The platform counts as reachable if it responded within this.
 const SEEN_WITHIN: Duration = Duration::from_secs(35);
 
 impl Core {
-    /// Takes entries in. Returns how many were newer.
+    /// Applies entries. Returns how many were newer.
     pub(super) fn apply_entries(self: &Rc<Self>, entries: Vec<FetchEntry>) -> usize {
         let mut newer = 0;
         for entry in entries {
@@ -36,7 +36,7 @@
             match applied {
                 Applied::Newer => {
                     newer += 1;
-                    self.note_delay(accepted_at);
+                    self.record_delay(accepted_at);
                 }
                 Applied::Older => {}
                 Applied::Refused(why) => {
@@ -50,23 +50,23 @@
             let mark = self.book.borrow().mark();
             log::info!(entries = newer, revision = mark.revision; "settings-in-force");
         }
-        self.tell_settings();
+        self.report_settings();
         newer
     }
 
-    fn note_delay(&self, accepted_at: Option<u64>) {
+    fn record_delay(&self, accepted_at: Option<u64>) {
         let Some(accepted_at) = accepted_at else { return };
         let millis = self.unix_ms().saturating_sub(accepted_at);
         self.metrics.settings_delay.observe(Duration::from_millis(millis).as_secs_f64());
     }
 
-    /// Lets the node tell the others which settings are in force here.
-    pub(super) fn tell_settings(self: &Rc<Self>) {
+    /// Passes the revision of the settings in force to the node, which reports it to the others.
+    pub(super) fn report_settings(self: &Rc<Self>) {
         let (mark, platform) = (self.book.borrow().mark(), self.sees_platform());
         self.feed(Input::Settings { mark, platform });
     }
 
-    /// A watcher knows by itself; the others take the watchers' word.
+    /// Whether the platform is reachable. Daemons that are no watchers rely on the watchers' reports.
     pub fn sees_platform(&self) -> bool {
         let node = self.node.borrow();
         let seen = self.platform_seen.get();
@@ -81,16 +81,16 @@
         members.any(|member| member.is_reachable() && member.platform)
     }
 
-    /// Watches while this daemon is a watcher, for ever.
+    /// Watches the settings whenever this daemon is a watcher.
     pub(super) async fn watch_settings(self: Rc<Self>) {
-        actix_rt::time::sleep(PEERS_FIRST).await;
+        actix_rt::time::sleep(PLATFORM_DELAY).await;
         let mut listed = false;
-        let mut pause = PAUSE;
+        let mut pause = RETRY_PAUSE;
         loop {
             let needed = self.node.borrow().members().is_watcher() || self.book.borrow().is_empty();
             if !needed {
                 listed = false;
-                actix_rt::time::sleep(LOOK_EVERY).await;
+                actix_rt::time::sleep(CHECK_INTERVAL).await;
                 continue;
             }
             let answered = match listed {
@@ -99,20 +99,20 @@
             };
             listed = answered;
             if answered {
-                pause = PAUSE;
-                self.note_platform();
+                pause = RETRY_PAUSE;
+                self.record_platform_response();
                 continue;
             }
             let jitter = rand::rng().random_range(0.5..1.5);
             actix_rt::time::sleep(pause.mul_f64(jitter)).await;
-            pause = (pause * 2).min(PAUSE_CAP);
+            pause = (pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
 
     async fn list_once(self: &Rc<Self>) -> bool {
         match self.etcd_list().await {
             Some(entries) => {
-                self.note_platform();
+                self.record_platform_response();
                 self.apply_entries(entries);
                 true
             }
@@ -132,14 +132,14 @@
         use crate::store::Kv as _;
         let prefix = self.store.entries_prefix();
         let from = self.seen_revision.get() + 1;
-        let Ok(changed) = self.etcd.watch(&prefix, from, WATCH).await else { return false };
+        let Ok(changed) = self.etcd.watch(&prefix, from, WATCH_TIMEOUT).await else { return false };
         let highest = changed.iter().map(|held| held.revision).max();
         self.seen_revision.set(highest.unwrap_or(0).max(self.seen_revision.get()));
         self.apply_entries(to_entries(&prefix, changed));
         true
     }
 
-    /// After an accepted change: does not wait for the watch.
+    /// Reads the settings at once after an accepted change, without waiting for the watch.
     pub(super) fn refresh_soon(self: &Rc<Self>) {
         let core = self.clone();
         actix_rt::spawn(async move {
@@ -147,18 +147,18 @@
         });
     }
 
-    /// Fetches from daemons that have newer settings, for ever.
+    /// Fetches from daemons that have newer settings.
     pub(super) async fn follow_members(self: Rc<Self>) {
         loop {
-            if let Some(node) = self.better_informed() {
+            if let Some(node) = self.newer_member() {
                 self.fetch_from(&node).await;
             }
-            actix_rt::time::sleep(LOOK_EVERY).await;
+            actix_rt::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// A reachable daemon, at random, whose settings differ and are not older as a whole.
-    fn better_informed(&self) -> Option<NodeName> {
+    /// Returns a random reachable daemon whose settings differ and have no lower revision.
+    fn newer_member(&self) -> Option<NodeName> {
         let node = self.node.borrow();
         let mark = self.book.borrow().mark();
         let better = |member: &&Member| {
--- a/crates/portrack/src/http/headers.rs
+++ b/crates/portrack/src/http/headers.rs
@@ -1,8 +1,8 @@
 //! The header names that portrack reads and writes, in lower case.
 
-/// The caller's name of a request, given back in the answer; at engines the reservation.
+/// The caller's id of a request; toward engines, the id of the reservation.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Milliseconds within which the request must start.
+/// Time within which the request must start, in milliseconds.
 pub const DEADLINE: &str = "portrack-deadline-ms";
 /// `interactive` or `background`.
 pub const CLASS: &str = "portrack-class";
@@ -10,13 +10,13 @@
 pub const SERVICE: &str = "portrack-service";
 /// `no` for a request that must not run twice, `yes` for one that may.
 pub const REPEATABLE: &str = "portrack-repeatable";
-/// The key under which a request runs at most once, whatever node it comes to.
+/// The key under which a request runs at most once, at whichever node it arrives.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Milliseconds from a request's arrival to its start on an engine, on every answer.
+/// Milliseconds from a request's arrival to its start on an engine; on completion responses.
 pub const WAIT: &str = "portrack-wait-ms";
 /// `no` or `unknown` on every refusal.
 pub const RUN: &str = "portrack-run";
 /// The fence of an order, toward engines.
 pub const FENCE: &str = "portrack-fence";
-/// The priority of a request, toward engines; lower goes first.
+/// The priority of a request, toward engines; lower values go first.
 pub const PRIORITY: &str = "portrack-priority";
--- a/crates/portrack/src/http/meta.rs
+++ b/crates/portrack/src/http/meta.rs
@@ -1,34 +1,34 @@
-//! What a caller says about its request in headers.
+//! Parses the request headers of callers.
 
 use super::headers;
 use crate::types::{Class, Reason, Refusal};
 use actix_http::header::HeaderMap;
 use std::time::Duration;
 
-/// The longest key or id accepted, in bytes.
+/// Largest header value accepted, in bytes.
 const MAX_TEXT: usize = 256;
-/// The longest deadline accepted.
+/// Longest deadline accepted.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// The headers, parsed.
+/// The parsed headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Meta {
-    /// The caller's name of the request.
+    /// The caller's id of the request.
     pub request_id: Option<String>,
-    /// Within this the request must start.
+    /// Time within which the request must start.
     pub deadline: Option<Duration>,
-    /// How urgent it is.
+    /// The urgency class.
     pub class: Class,
-    /// The service it belongs to.
+    /// The service that the request belongs to.
     pub service: Option<String>,
-    /// Whether it may be sent again; none if the caller does not say.
+    /// Whether it may be sent again; `None` if the caller does not specify it.
     pub repeatable: Option<bool>,
     /// The idempotency key.
     pub key: Option<String>,
 }
 
 impl Meta {
-    /// Reads the headers, or says which one is bad.
+    /// Parses the headers, or returns which one is invalid.
     pub fn parse(map: &HeaderMap) -> Result<Self, Refusal> {
         let repeatable = match text(map, headers::REPEATABLE)?.as_deref() {
             None => None,
--- a/crates/portrack/src/http/mod.rs
+++ b/crates/portrack/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP toward callers and operators.
+//! HTTP server for callers and operators.
 
 pub mod headers;
 mod meta;
--- a/crates/portrack/src/http/problem.rs
+++ b/crates/portrack/src/http/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as problem details (RFC 9457).
+//! Refusals as problem details according to RFC 9457.
 
 use super::headers;
 use super::reply::Reply;
@@ -34,7 +34,7 @@
     }
 }
 
-/// The answer that carries a refusal.
+/// Returns the response for a refusal.
 pub fn problem(refusal: &Refusal) -> Reply {
     let status = status_of(refusal.reason);
     let body = Problem {
@@ -44,7 +44,7 @@
         detail: &refusal.detail,
         run: refusal.run.as_str(),
     };
-    let body = serde_json::to_vec(&body).expect("a problem has string keys only");
+    let body = serde_json::to_vec(&body).expect("a problem serialises to JSON");
     let mut builder = Response::build(status);
     builder.insert_header(("content-type", "application/problem+json"));
     builder.insert_header((headers::RUN, refusal.run.as_str()));
--- a/crates/portrack/src/http/sent.rs
+++ b/crates/portrack/src/http/sent.rs
@@ -1,9 +1,9 @@
-//! Whether a request that got no answer can have reached the other side.
+//! Whether a request without a response may have reached the server.
 
 use awc::error::{ConnectError, SendRequestError};
 
-/// True only if not a byte was handed to a connection. `Disconnected` is no such case: the client
-/// library also says it when the server closes after it has read the request.
+/// True only if no byte was written to a connection. `Disconnected` does not count: the client
+/// library also reports it when the server closes after it has read the request.
 pub fn certainly_not_sent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Url(_) => true,
--- a/crates/portrack/src/http/server.rs
+++ b/crates/portrack/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A listener that hands each request to a handler, on one thread.
+//! HTTP server that passes each request to a handler, on one thread.
 
 use super::reply::Reply;
 use crate::types::{Reason, Refusal};
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Answers a request.
+/// Handles a request.
 pub trait Handler: Fn(Request) -> Self::Answer + Clone + 'static {
-    /// The answer to come.
+    /// The future of the response.
     type Answer: Future<Output = Reply> + 'static;
 }
 
@@ -30,11 +30,11 @@
 /// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// A caller must have sent its request's head within this.
+    /// Timeout for receiving a request head.
     pub head: Duration,
-    /// An idle connection is kept for this long.
+    /// Time that an idle connection is kept open.
     pub keep_alive: Duration,
-    /// Connections at the same time; further ones wait in the system's queue.
+    /// Largest number of open connections; further ones wait in the system's queue.
     pub connections: usize,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// Pause before another look when all connections are taken.
-const FULL_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before the next accept if all connections are in use or accepting failed.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serves until the future is dropped. Connections that are open then go on to their end.
+/// Serves until the future is dropped. Connections that are open by then are served to their end.
 pub async fn serve(listener: TcpListener, limits: Limits, handler: impl Handler) {
     let factory = HttpService::build()
         .keep_alive(limits.keep_alive)
@@ -66,11 +66,11 @@
     let open = Rc::new(Cell::new(0_usize));
     loop {
         if open.get() >= limits.connections {
-            actix_rt::time::sleep(FULL_PAUSE).await;
+            actix_rt::time::sleep(ACCEPT_PAUSE).await;
             continue;
         }
         let Ok((stream, _)) = listener.accept().await else {
-            actix_rt::time::sleep(FULL_PAUSE).await;
+            actix_rt::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -83,21 +83,21 @@
     }
 }
 
-/// Reads a request's body up to `limit` bytes, each part within `patience`.
+/// Reads a request's body up to `limit` bytes, each part within `part_timeout`.
 pub async fn read_body(
     request: &mut Request,
     limit: usize,
-    patience: Duration,
+    part_timeout: Duration,
 ) -> Result<Bytes, Refusal> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     loop {
-        let Ok(part) = actix_rt::time::timeout(patience, payload.next()).await else {
-            return Err(Refusal::not_run(Reason::BadRequest, "the body came too slowly"));
+        let Ok(part) = actix_rt::time::timeout(part_timeout, payload.next()).await else {
+            return Err(Refusal::not_run(Reason::BadRequest, "timed out while reading the body"));
         };
         let Some(part) = part else { return Ok(body.freeze()) };
         let part = part.map_err(|e| {
-            Refusal::not_run(Reason::BadRequest, format!("the body broke off: {e}"))
+            Refusal::not_run(Reason::BadRequest, format!("reading the body failed: {e}"))
         })?;
         if body.len() + part.len() > limit {
             let detail = format!("the body exceeds {limit} bytes");
--- a/crates/portrack/src/loads/choice.rs
+++ b/crates/portrack/src/loads/choice.rs
@@ -10,8 +10,8 @@
 const SKIP_FOR: Duration = Duration::from_secs(30);
 
 /// Selects a load planner and skips those that do not reply. Members of other halls are declared
-/// dead only after a long time, and loads must not wait for that. Two planners at the same time are
-/// safe: they only make loads slower.
+/// dead only after a long time, and loads must not wait for that. Two planners at the same time only
+/// make loads slower.
 #[derive(Debug, Clone, Default)]
 pub struct PlannerSelector {
     asked: Option<(NodeName, Time)>,
--- a/crates/portrack/tests/leases.rs
+++ b/crates/portrack/tests/leases.rs
@@ -1,6 +1,7 @@
-//! The lease of engines that check no fence: its time check is what keeps two owners apart.
+//! Tests of the lease of engines that check no fence. Only its time check prevents two owners from
+//! sending orders at the same time.
 
-use portrack::daemon::{LEASE_TTL, Leases, ORDER_WITHIN};
+use portrack::daemon::{LEASE_TTL, Leases, MAX_RENEWAL_AGE};
 use portrack::store::{Kv, KvEntry, KvError, KvList, KvPut, LocalFuture};
 use portrack::types::{Clock, EngineName, ManualClock};
 use std::cell::{Cell, RefCell};
@@ -8,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A store whose renewals succeed, fail, or find the lease gone.
+/// A store whose renewals succeed, fail, or report that the lease has expired.
 #[derive(Default)]
 struct Store {
     keys: RefCell<BTreeMap<String, (u64, Vec<u8>)>>,
@@ -83,37 +84,40 @@
 }
 
 #[actix_rt::test]
-async fn after_renewals_that_fail_no_order_may_leave() {
+async fn failed_renewals_stop_orders_before_the_lease_expires() {
     let (store, clock, leases, engine) = held().await;
     store.renewal.set(None);
-    clock.advance(millis(ORDER_WITHIN) - 1);
+    clock.advance(millis(MAX_RENEWAL_AGE) - 1);
     leases.renew(&clock).await;
     assert!(leases.may_order(clock.now(), &engine));
     clock.advance(1);
-    assert!(!leases.may_order(clock.now(), &engine), "well before the lease can have lapsed");
-    assert!(ORDER_WITHIN < LEASE_TTL);
+    assert!(
+        !leases.may_order(clock.now(), &engine),
+        "orders must stop before the lease can expire"
+    );
+    assert!(MAX_RENEWAL_AGE < LEASE_TTL);
 }
 
 #[actix_rt::test]
-async fn after_a_pause_past_the_lease_no_order_may_leave() {
+async fn no_orders_after_a_pause_longer_than_the_lease() {
     let (store, clock, leases, engine) = held().await;
     store.renewal.set(Some(true));
     clock.advance(millis(LEASE_TTL) * 3);
-    assert!(!leases.may_order(clock.now(), &engine), "before anything else was done");
+    assert!(!leases.may_order(clock.now(), &engine), "orders must stop without a failed renewal");
 }
 
 #[actix_rt::test]
-async fn a_renewal_extends_the_right_from_when_it_was_sent() {
+async fn a_renewal_counts_from_when_it_was_sent() {
     let (store, clock, leases, engine) = held().await;
     store.renewal.set(Some(true));
-    clock.advance(millis(ORDER_WITHIN) - 1);
+    clock.advance(millis(MAX_RENEWAL_AGE) - 1);
     leases.renew(&clock).await;
-    clock.advance(millis(ORDER_WITHIN) - 1);
+    clock.advance(millis(MAX_RENEWAL_AGE) - 1);
     assert!(leases.may_order(clock.now(), &engine));
 }
 
 #[actix_rt::test]
-async fn a_lease_that_is_found_gone_takes_the_right_at_once() {
+async fn an_expired_lease_stops_orders_at_once() {
     let (store, clock, leases, engine) = held().await;
     store.renewal.set(Some(false));
     leases.renew(&clock).await;
@@ -122,8 +126,8 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_was_let_go_may_not_be_ordered() {
+async fn a_released_engine_gets_no_orders() {
     let (_store, clock, leases, engine) = held().await;
-    leases.let_go(&engine).await;
+    leases.release(&engine).await;
     assert!(!leases.may_order(clock.now(), &engine));
 }
