--- a/crates/portrack-cli/src/args.rs
+++ b/crates/portrack-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The arguments.
+//! Command line arguments.
 
 use crate::output::Output;
 use argh::FromArgs;
@@ -7,20 +7,20 @@
 /// operate a portrack fleet
 #[derive(FromArgs)]
 pub struct Args {
-    /// the operators' address of any daemon (default 127.0.0.1:9090)
+    /// operators' address of any daemon (default 127.0.0.1:9090)
     #[argh(option, default = "\"127.0.0.1:9090\".to_owned()")]
     pub node: String,
-    /// a file with the operator's token
+    /// file with the operator's token
     #[argh(option)]
     pub token_file: Option<PathBuf>,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Output::Text")]
     pub output: Output,
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// The subcommands.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -37,41 +37,41 @@
     Trace(Trace),
 }
 
-/// bring up stand-ins and three daemons on loopback, send load, and judge the promises
+/// run three daemons and stand-ins on loopback under load, and check the guarantees
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct Demo {
     /// seconds of load (default 15)
     #[argh(option, default = "15")]
     pub seconds: u64,
-    /// requests a second (default 40)
+    /// requests per second (default 40)
     #[argh(option, default = "40")]
     pub rate: u64,
-    /// adapters (default 200)
+    /// number of adapters (default 200)
     #[argh(option, default = "200")]
     pub adapters: usize,
-    /// stay up without load, and print the addresses
+    /// print the addresses and keep running without load
     #[argh(switch)]
     pub serve: bool,
 }
 
-/// join the log lines that explain one request, from the logs of several daemons
+/// collect the log lines about one request from the logs of several daemons
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub struct Trace {
-    /// the request's id
+    /// request id
     #[argh(positional)]
     pub id: String,
-    /// log files, one a daemon; standard input if left out
+    /// log files, one per daemon (default: standard input)
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// show what a node of the settings tree sets
+/// show the settings at nodes of the settings tree
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 pub struct Get {
-    /// for instance fleet/hall:a; all nodes if left out
+    /// path of a node, for instance fleet/hall:a (default: all nodes)
     #[argh(positional)]
     pub path: Option<String>,
 }
@@ -80,7 +80,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
 pub struct Set {
-    /// for instance fleet/hall:a
+    /// path of the node, for instance fleet/hall:a
     #[argh(positional)]
     pub path: String,
     /// the key
@@ -89,49 +89,49 @@
     /// the value
     #[argh(positional)]
     pub value: u64,
-    /// why, for the audit trail
+    /// reason, recorded in the audit trail
     #[argh(option, default = "String::new()")]
     pub why: String,
 }
 
-/// let a key be inherited again
+/// remove a key from a node, so that its value is inherited
 #[derive(FromArgs)]
 #[argh(subcommand, name = "unset")]
 pub struct Unset {
-    /// for instance fleet/hall:a
+    /// path of the node, for instance fleet/hall:a
     #[argh(positional)]
     pub path: String,
     /// the key
     #[argh(positional)]
     pub key: String,
-    /// why, for the audit trail
+    /// reason, recorded in the audit trail
     #[argh(option, default = "String::new()")]
     pub why: String,
 }
 
-/// tell where the value of a key comes from
+/// show where the value of a key comes from
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
-    /// for instance fleet/hall:a/service:chat
+    /// path of a node, for instance fleet/hall:a/service:chat
     #[argh(positional)]
     pub path: String,
-    /// the key; all keys if left out
+    /// the key (default: all keys)
     #[argh(positional)]
     pub key: Option<String>,
 }
 
-/// make a file of settings hold; shows the differences first
+/// apply a settings file, after showing the differences
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
-    /// the file, in TOML
+    /// the settings file (TOML)
     #[argh(positional)]
     pub file: PathBuf,
     /// only show the differences
     #[argh(switch)]
     pub dry_run: bool,
-    /// why, for the audit trail
+    /// reason, recorded in the audit trail
     #[argh(option, default = "String::new()")]
     pub why: String,
 }
@@ -144,7 +144,7 @@
     pub command: AdapterCommand,
 }
 
-/// What to do with adapters.
+/// Subcommands of `adapter`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum AdapterCommand {
@@ -152,7 +152,7 @@
     List(AdapterList),
 }
 
-/// add an adapter, or a version of one
+/// add an adapter or a version of an adapter
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 pub struct AdapterAdd {
@@ -165,13 +165,13 @@
     /// the base model
     #[argh(option)]
     pub base: String,
-    /// where the weight store keeps it
+    /// location in the weight store
     #[argh(option)]
     pub weights: String,
-    /// its share of requests that name no version (default 100)
+    /// share of the requests without a version that this version gets (default 100)
     #[argh(option, default = "100")]
     pub share: u32,
-    /// why, for the audit trail
+    /// reason, recorded in the audit trail
     #[argh(option, default = "String::new()")]
     pub why: String,
 }
@@ -188,20 +188,20 @@
     /// only changes by this operator
     #[argh(option)]
     pub who: Option<String>,
-    /// only changes whose subject has this text in it
+    /// only changes whose subject contains this text
     #[argh(option)]
     pub what: Option<String>,
-    /// the last so many (default 50)
+    /// number of latest changes to show (default 50)
     #[argh(option, default = "50")]
     pub last: usize,
 }
 
-/// show a daemon and what it knows of the others
+/// show the status of a daemon and its view of the other daemons
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {}
 
-/// begin a daemon's planned stop
+/// start the planned stop of a daemon
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct Drain {}
--- a/crates/portrack-cli/src/client.rs
+++ b/crates/portrack-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon's operators' listener.
+//! HTTP client for the operators' API of a daemon.
 
 use crate::failure::Failure;
 use awc::http::StatusCode;
@@ -9,12 +9,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The longest wait for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(15);
-/// The largest answer taken, in bytes.
-const MAX_ANSWER: usize = 256 * 1024 * 1024;
+/// Largest accepted response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
-/// A client of one daemon.
+/// Client of one daemon.
 pub struct Client {
     http: awc::Client,
     node: String,
@@ -22,7 +22,7 @@
 }
 
 impl Client {
-    /// A client of the daemon whose operators' address is `node`.
+    /// Creates a client of the daemon whose operators' address is `node`.
     pub fn new(node: &str, token_file: Option<&Path>) -> Result<Self, Failure> {
         let token = match token_file {
             Some(file) => Some(read_token(file)?),
@@ -32,19 +32,19 @@
         Ok(Self { http, node: node.to_owned(), token })
     }
 
-    /// Reads something.
+    /// Sends a GET request and decodes the response.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let request = self.http.get(self.url(path));
         self.finish(self.authorized(request).send().await).await
     }
 
-    /// Asks for something to be done.
+    /// Sends a POST request without a body.
     pub async fn post(&self, path: &str) -> Result<Value, Failure> {
         let request = self.http.post(self.url(path));
         self.finish(self.authorized(request).send().await).await
     }
 
-    /// Changes the settings. `expected` is the value that the operator saw, as JSON.
+    /// Submits a settings change. `expected` is the value before the change as the operator saw it, as JSON.
     pub async fn change(
         &self,
         edit: Edit,
@@ -78,7 +78,7 @@
     {
         let unreachable = |why: String| Failure::Daemon(format!("{}: {why}", self.node));
         let mut response = sent.map_err(|e| unreachable(e.to_string()))?;
-        let body = response.body().limit(MAX_ANSWER).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|e| unreachable(e.to_string()))?;
         if response.status().is_success() {
             return serde_json::from_slice(&body).map_err(|e| unreachable(e.to_string()));
--- a/crates/portrack-cli/src/commands/adapter.rs
+++ b/crates/portrack-cli/src/commands/adapter.rs
@@ -11,7 +11,7 @@
 
 type Adapters = BTreeMap<AdapterName, AdapterSpec>;
 
-/// Adds or lists.
+/// Runs a subcommand of `adapter`.
 pub async fn adapter(
     client: &Client,
     output: Output,
@@ -23,18 +23,18 @@
     }
 }
 
-fn bad<E: std::fmt::Display>(what: &'static str) -> impl Fn(E) -> Failure {
+fn invalid<E: std::fmt::Display>(what: &'static str) -> impl Fn(E) -> Failure {
     move |e| Failure::Input(format!("{what}: {e}"))
 }
 
 async fn add(client: &Client, output: Output, args: AdapterAdd) -> Result<(), Failure> {
-    let name: AdapterName = args.name.parse().map_err(bad("adapter"))?;
-    let version = args.version.parse().map_err(bad("version"))?;
-    let base = args.base.parse().map_err(bad("base"))?;
+    let name: AdapterName = args.name.parse().map_err(invalid("adapter"))?;
+    let version = args.version.parse().map_err(invalid("version"))?;
+    let base = args.base.parse().map_err(invalid("base"))?;
     let all: Adapters = client.get("/v1/adapters").await?;
     let old = all.get(&name);
     if old.is_some_and(|old| old.versions.contains_key(&version)) {
-        let what = format!("{name}@{version} exists already; versions do not change");
+        let what = format!("{name}@{version} already exists; versions are immutable");
         return Err(Failure::Input(what));
     }
     let expected = serde_json::to_string(&old).expect("settings have string keys only");
--- a/crates/portrack-cli/src/commands/apply.rs
+++ b/crates/portrack-cli/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: makes a file hold.
+//! `apply`.
 
 use crate::args::Apply;
 use crate::client::Client;
@@ -9,7 +9,7 @@
 use portrack::types::{AdapterName, ServiceName};
 use std::collections::BTreeMap;
 
-/// What is in force, as far as a file can state it.
+/// The settings in force that a settings file can contain.
 struct InForce {
     tree: BTreeMap<TreePath, Overrides>,
     services: BTreeMap<ServiceName, PlainService>,
@@ -25,7 +25,7 @@
         })
     }
 
-    /// The value in the place of an edit, as JSON.
+    /// The current value that an edit would replace, as JSON.
     fn value(&self, edit: &Edit) -> String {
         let json = match edit {
             Edit::Set { path, key, .. } => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Shows the differences, then changes one after the other.
+/// Shows the differences, then applies them one by one.
 pub async fn apply(client: &Client, output: Output, args: &Apply) -> Result<(), Failure> {
     let file = SettingsFile::read(&args.file).map_err(|e| Failure::Input(e.to_string()))?;
     let in_force = InForce::read(client).await?;
--- a/crates/portrack-cli/src/commands/audit.rs
+++ b/crates/portrack-cli/src/commands/audit.rs
@@ -1,4 +1,4 @@
-//! `audit`: the trail.
+//! `audit`.
 
 use crate::args::Audit;
 use crate::client::Client;
@@ -6,7 +6,7 @@
 use crate::output::{Output, table};
 use portrack::audit::AuditRecord;
 
-/// Shows the last changes that fit, oldest first.
+/// Shows the latest changes that match the filters, oldest first.
 pub async fn audit(client: &Client, output: Output, args: &Audit) -> Result<(), Failure> {
     let mut trail: Vec<AuditRecord> = client.get("/v1/audit").await?;
     trail.retain(|record| args.who.as_ref().is_none_or(|who| record.who == *who));
@@ -21,8 +21,8 @@
                 record.at_unix_ms.to_string(),
                 record.who.clone(),
                 record.what.clone(),
-                short(&record.before),
-                short(&record.after),
+                truncate(&record.before),
+                truncate(&record.after),
                 record.why.clone(),
                 record.id.to_string(),
             ]);
@@ -32,12 +32,12 @@
     Ok(())
 }
 
-/// Characters of a value that a line shows.
-const SHORT: usize = 40;
+/// Longest value that is shown in full, in characters.
+const MAX_VALUE_CHARS: usize = 40;
 
-fn short(value: &str) -> String {
-    match value.chars().count() > SHORT {
-        true => value.chars().take(SHORT).chain("...".chars()).collect(),
+fn truncate(value: &str) -> String {
+    match value.chars().count() > MAX_VALUE_CHARS {
+        true => value.chars().take(MAX_VALUE_CHARS).chain("...".chars()).collect(),
         false => value.to_owned(),
     }
 }
--- a/crates/portrack-cli/src/commands/mod.rs
+++ b/crates/portrack-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementations of the subcommands.
 
 mod adapter;
 mod apply;
--- a/crates/portrack-cli/src/commands/settings.rs
+++ b/crates/portrack-cli/src/commands/settings.rs
@@ -9,7 +9,7 @@
 
 type Tree = BTreeMap<TreePath, Overrides>;
 
-/// Shows what nodes set.
+/// Shows the keys set at nodes.
 pub async fn get(client: &Client, output: Output, args: &Get) -> Result<(), Failure> {
     let mut tree: Tree = client.get("/v1/settings").await?;
     if let Some(path) = &args.path {
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// One line about an accepted change.
+/// Formats an accepted change as one line.
 pub fn accepted_text(accepted: &Accepted) -> String {
     let record = &accepted.record;
     format!(
@@ -77,7 +77,7 @@
     )
 }
 
-/// Tells where values come from.
+/// Shows where values come from.
 pub async fn explain(client: &Client, output: Output, args: &Explain) -> Result<(), Failure> {
     let path = parse(&args.path)?;
     let key = args.key.as_ref().map(|key| format!("&key={key}")).unwrap_or_default();
--- a/crates/portrack-cli/src/commands/status.rs
+++ b/crates/portrack-cli/src/commands/status.rs
@@ -5,7 +5,7 @@
 use crate::output::{Output, table};
 use portrack::daemon::StatusReport;
 
-/// Shows a daemon and what it knows of the others.
+/// Shows the status of a daemon and its view of the others.
 pub async fn status(client: &Client, output: Output) -> Result<(), Failure> {
     let report: StatusReport = client.get("/v1/status").await?;
     output.print(&report, text);
@@ -63,7 +63,7 @@
     text
 }
 
-/// Begins the planned stop.
+/// Starts the planned stop.
 pub async fn drain(client: &Client, output: Output) -> Result<(), Failure> {
     let answer = client.post("/v1/drain").await?;
     output.print(&answer, |_| "leaving\n".to_owned());
--- a/crates/portrack-cli/src/commands/trace.rs
+++ b/crates/portrack-cli/src/commands/trace.rs
@@ -1,7 +1,7 @@
-//! Joins the log lines that explain one request.
+//! `trace`: collects the log lines about one request.
 //!
-//! Clocks of daemons disagree, so lines of different daemons are not put into one order: the
-//! request's own daemon comes first, the others after it, each by its own clock.
+//! The clocks of daemons differ, so lines of different daemons are not merged into one order: the
+//! daemon that handled the request comes first, then the others, each in the order of its own clock.
 
 use crate::args::Trace;
 use crate::failure::Failure;
@@ -9,8 +9,8 @@
 use std::io::Read;
 use std::path::Path;
 
-/// Lines of other events are shown if they lie this close to the request, in milliseconds.
-const AROUND_MS: u64 = 6_000;
+/// Related lines are shown if they are this close in time to the request, in milliseconds.
+const CONTEXT_MS: u64 = 6_000;
 /// Events that concern a whole daemon.
 const DAEMON_EVENTS: [&str; 9] = [
     "start",
@@ -31,7 +31,7 @@
     time_ms: u64,
 }
 
-/// What a request's line names.
+/// The fields of a `request` line that select related lines.
 #[derive(Debug, Default, Clone)]
 struct Subject {
     time_ms: u64,
@@ -40,7 +40,7 @@
     adapter: String,
 }
 
-/// Prints the lines.
+/// Prints the lines about a request.
 pub fn trace(arguments: &Trace) -> Result<(), Failure> {
     let mut logs = Vec::new();
     for file in &arguments.files {
@@ -65,7 +65,7 @@
         .map_err(|error| Failure::Input(format!("{}: {error}", file.display())))
 }
 
-/// The lines that explain a request; `None` if no line is about it.
+/// Collects the lines about a request; `None` if no log mentions it.
 fn explain(id: &str, logs: &[(String, String)]) -> Option<String> {
     let own = logs.iter().position(|(_, text)| lines(text).any(|line| is_about(line, id)))?;
     let subject = lines(&logs[own].1).find(|line| is_about(*line, id)).map(subject)?;
@@ -75,7 +75,7 @@
     for index in order {
         let (name, text) = &logs[index];
         let shown: Vec<Line<'_>> = lines(text)
-            .filter(|line| is_about(*line, id) || belongs(*line, &subject, index == own))
+            .filter(|line| is_about(*line, id) || is_related(*line, &subject, index == own))
             .collect();
         if !shown.is_empty() {
             out.push_str(&format!("== {name}\n"));
@@ -85,7 +85,7 @@
     Some(out)
 }
 
-/// The lines of a log; what stands before the time is left out.
+/// The lines of a log, without any text before `time_ms=`.
 fn lines(text: &str) -> impl Iterator<Item = Line<'_>> {
     text.lines().filter_map(|line| {
         let text = &line[line.find("time_ms=")?..];
@@ -110,9 +110,9 @@
 }
 
 /// True if a line is about the request's server or adapter, or its daemon, around its time.
-fn belongs(line: Line<'_>, subject: &Subject, own: bool) -> bool {
-    let from = subject.time_ms.saturating_sub(subject.took_ms + AROUND_MS);
-    if !(from..=subject.time_ms + AROUND_MS).contains(&line.time_ms) {
+fn is_related(line: Line<'_>, subject: &Subject, own: bool) -> bool {
+    let from = subject.time_ms.saturating_sub(subject.took_ms + CONTEXT_MS);
+    if !(from..=subject.time_ms + CONTEXT_MS).contains(&line.time_ms) {
         return false;
     }
     let event = log_field(line.text, "event").unwrap_or_default();
--- a/crates/portrack-cli/src/demo/load.rs
+++ b/crates/portrack-cli/src/demo/load.rs
@@ -1,8 +1,8 @@
-//! Sends the load, and makes things happen on the way.
+//! Sends the load and triggers the events of the demonstration.
 
-use super::judge::Judge;
+use super::guarantees::GuaranteeChecker;
+use super::observations::{CompletionObserved, End, Observations, UnlockObserved};
 use super::plan::{Plan, Planned};
-use super::seen::{CompletionSeen, End, Seen, UnlockSeen};
 use portrack::http::headers;
 use portrack_standins::expect;
 use portrack_standins::world::World;
@@ -12,56 +12,59 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The longest wait for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// When, as a share of the load, a daemon begins its planned stop.
+/// When a daemon starts its planned stop, as a fraction of the duration.
 const STOP_AT: f64 = 0.4;
-/// When a backend server is listed as leaving.
+/// When a backend server is listed as leaving, as a fraction of the duration.
 const LEAVE_AT: f64 = 0.6;
-/// When an engine restarts empty.
+/// When an engine restarts without adapters, as a fraction of the duration.
 const RESTART_AT: f64 = 0.5;
-/// When a setting is changed.
+/// When a setting is changed, as a fraction of the duration.
 const CHANGE_AT: f64 = 0.3;
 /// Deadline of interactive completions, in milliseconds.
 const DEADLINE_MS: u64 = 8_000;
 
-/// The load as it goes.
+/// The running load.
 pub struct Load {
     plan: Plan,
     client: awc::Client,
     targets: Vec<(String, SocketAddr)>,
     next_target: usize,
-    seen: Rc<RefCell<Seen>>,
+    observed: Rc<RefCell<Observations>>,
     tasks: Vec<actix_rt::task::JoinHandle<()>>,
 }
 
 impl Load {
-    /// A load on all daemons of the world.
+    /// Creates a load on all daemons of the world.
     pub fn new(world: &World, plan: Plan) -> Self {
         let daemons = world.daemons.iter();
         let targets =
             daemons.filter_map(|(name, d)| Some((name.clone(), d.as_ref()?.callers()))).collect();
         let connector = awc::Connector::new().limit(0);
         let client = awc::Client::builder().connector(connector).timeout(TIMEOUT).finish();
-        let seen = Rc::default();
-        Self { plan, client, targets, next_target: 0, seen, tasks: Vec::new() }
+        let observed = Rc::default();
+        Self { plan, client, targets, next_target: 0, observed, tasks: Vec::new() }
     }
 
-    /// Sends for the planned time.
-    pub async fn run(&mut self, world: &mut World, judge: &mut Judge) {
+    /// Sends requests for the planned duration.
+    pub async fn run(&mut self, world: &mut World, checker: &mut GuaranteeChecker) {
         let began = Instant::now();
-        let mut told = 0;
+        let mut last_report = 0;
         let mut done = [false; 4];
         while began.elapsed() < self.plan.span {
             let share = began.elapsed().as_secs_f64() / self.plan.span.as_secs_f64();
-            self.events(world, judge, share, &mut done).await;
-            judge.watch(world);
+            self.events(world, checker, share, &mut done).await;
+            checker.observe(world);
             let planned = self.plan.next();
             self.send(planned);
-            if began.elapsed().as_secs() > told {
-                told = began.elapsed().as_secs();
-                let seen = self.seen.borrow().completions.len();
-                println!("{told:>4} s  {} sent, {seen} completions ended", self.tasks.len());
+            if began.elapsed().as_secs() > last_report {
+                last_report = began.elapsed().as_secs();
+                let observed = self.observed.borrow().completions.len();
+                println!(
+                    "{last_report:>4} s  {} sent, {observed} completions ended",
+                    self.tasks.len()
+                );
             }
             actix_rt::time::sleep(self.plan.pause).await;
         }
@@ -70,14 +73,14 @@
     async fn events(
         &mut self,
         world: &mut World,
-        judge: &mut Judge,
+        checker: &mut GuaranteeChecker,
         share: f64,
         done: &mut [bool; 4],
     ) {
         if share >= CHANGE_AT && !std::mem::replace(&mut done[0], true) {
             println!("        a setting is changed");
             let revision = world.add_adapter("late-comer", "v1").await;
-            judge.changed(revision);
+            checker.record_change(revision);
         }
         if share >= STOP_AT && !std::mem::replace(&mut done[1], true) {
             println!("        daemon a2 begins its planned stop");
@@ -94,51 +97,51 @@
         if share >= LEAVE_AT && !std::mem::replace(&mut done[3], true) {
             println!("        engine e3 is listed as leaving");
             world.publish(&["e3"]);
-            judge.leaving(3);
+            checker.record_leaving(3);
         }
     }
 
-    /// The next daemon, in turn, as a balancer would choose.
+    /// Selects the next daemon by round robin, like a load balancer.
     fn target(&mut self) -> SocketAddr {
         self.next_target += 1;
         self.targets[self.next_target % self.targets.len()].1
     }
 
     fn send(&mut self, planned: Planned) {
-        let (client, seen) = (self.client.clone(), self.seen.clone());
+        let (client, observed) = (self.client.clone(), self.observed.clone());
         let target = self.target();
         match planned {
             Planned::Completion { model, exact, prompt, tokens, background } => {
                 let request = Completion { model, exact, prompt, tokens, background };
                 self.tasks.push(actix_rt::spawn(async move {
                     let ended = request.send(&client, target).await;
-                    seen.borrow_mut().completions.push(ended);
+                    observed.borrow_mut().completions.push(ended);
                 }));
             }
             Planned::Unlock { key, twice } => {
                 let targets = if twice { vec![target, self.target()] } else { vec![target] };
                 for target in targets {
-                    let (client, seen, key) = (client.clone(), seen.clone(), key.clone());
+                    let (client, observed, key) = (client.clone(), observed.clone(), key.clone());
                     self.tasks.push(actix_rt::spawn(async move {
                         let end = unlock(&client, target, &key).await;
-                        seen.borrow_mut().unlocks.push(UnlockSeen { key, end });
+                        observed.borrow_mut().unlocks.push(UnlockObserved { key, end });
                     }));
                 }
             }
             Planned::Lookup => self.tasks.push(actix_rt::spawn(async move {
                 let url = format!("http://{target}/docks/stations");
-                let end = plain_end(client.get(url).send().await, None).await;
-                seen.borrow_mut().lookups.push(end);
+                let end = plain_outcome(client.get(url).send().await, None).await;
+                observed.borrow_mut().lookups.push(end);
             })),
         }
     }
 
-    /// Waits for everything that is under way.
-    pub async fn finish(self) -> Seen {
+    /// Waits for all requests in flight.
+    pub async fn finish(self) -> Observations {
         for task in self.tasks {
             let _ = task.await;
         }
-        self.seen.take()
+        self.observed.take()
     }
 }
 
@@ -151,7 +154,7 @@
 }
 
 impl Completion {
-    async fn send(self, client: &awc::Client, target: SocketAddr) -> CompletionSeen {
+    async fn send(self, client: &awc::Client, target: SocketAddr) -> CompletionObserved {
         let began = Instant::now();
         let body = json!({
             "model": self.model, "prompt": self.prompt, "max_tokens": self.tokens, "stream": true,
@@ -161,7 +164,7 @@
             .post(format!("http://{target}/v1/completions"))
             .insert_header((headers::CLASS, class))
             .insert_header((headers::DEADLINE, DEADLINE_MS.to_string()));
-        let mut seen = CompletionSeen {
+        let mut observed = CompletionObserved {
             prompt: self.prompt.clone(),
             exact: self.exact.clone(),
             end: End::CutOff(String::new()),
@@ -171,29 +174,29 @@
         let mut response = match request.send_json(&body).await {
             Ok(response) => response,
             Err(error) => {
-                seen.end = End::CutOff(error.to_string());
-                return seen;
+                observed.end = End::CutOff(error.to_string());
+                return observed;
             }
         };
-        seen.first_ms = u64::try_from(began.elapsed().as_millis()).ok();
+        observed.first_ms = u64::try_from(began.elapsed().as_millis()).ok();
         let wait = response.headers().get(headers::WAIT).and_then(|v| v.to_str().ok());
-        seen.wait_ms = wait.and_then(|v| v.parse().ok());
+        observed.wait_ms = wait.and_then(|v| v.parse().ok());
         let success = response.status().is_success();
         let text = match response.body().await {
             Ok(body) => String::from_utf8_lossy(&body).into_owned(),
             Err(error) => {
-                seen.end = End::CutOff(error.to_string());
-                return seen;
+                observed.end = End::CutOff(error.to_string());
+                return observed;
             }
         };
-        seen.end = match success {
-            true => self.compare(&text),
+        observed.end = match success {
+            true => self.check_response(&text),
             false => refusal(&text),
         };
-        seen
+        observed
     }
 
-    fn compare(&self, text: &str) -> End {
+    fn check_response(&self, text: &str) -> End {
         let data: Vec<&str> = text.lines().filter_map(|l| l.strip_prefix("data: ")).collect();
         if data.last() != Some(&"[DONE]") {
             return refusal(data.last().copied().unwrap_or_default());
@@ -223,10 +226,10 @@
 async fn unlock(client: &awc::Client, target: SocketAddr, key: &str) -> End {
     let request = client.post(format!("http://{target}/docks/unlock"));
     let request = request.insert_header((headers::IDEMPOTENCY_KEY, key));
-    plain_end(request.send_body(key.to_owned()).await, Some(key)).await
+    plain_outcome(request.send_body(key.to_owned()).await, Some(key)).await
 }
 
-async fn plain_end<S>(
+async fn plain_outcome<S>(
     sent: Result<awc::ClientResponse<S>, awc::error::SendRequestError>,
     echo: Option<&str>,
 ) -> End
--- a/crates/portrack-cli/src/demo/mod.rs
+++ b/crates/portrack-cli/src/demo/mod.rs
@@ -1,14 +1,14 @@
-//! Stand-ins and three daemons of two data halls in one process, under load.
+//! Demonstration: three daemons in two data halls and stand-ins, in one process under load.
 
-mod judge;
+mod guarantees;
 mod load;
+mod observations;
 mod plan;
 mod report;
-mod seen;
 
 use crate::args::Demo;
 use crate::failure::Failure;
-use judge::Judge;
+use guarantees::GuaranteeChecker;
 use load::Load;
 use portrack::node::Tunables;
 use portrack::settings::Edit;
@@ -18,11 +18,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Loads a second that the weight store of the demonstration allows.
+/// Adapter loads per second that the weight store allows.
 const LOADS_PER_SECOND: u64 = 10;
-/// Loads at the same time.
+/// Concurrent adapter loads.
 const LOADS_AT_ONCE: u64 = 4;
-/// How long idempotency keys are remembered, so that the start need not be waited for.
+/// How long idempotency keys are remembered; short, so that the demonstration need not wait at the start.
 const KEY_WINDOW_S: u64 = 2;
 
 /// Runs the demonstration.
@@ -32,7 +32,7 @@
     println!("bringing up {} adapters, 4 engines of 4 slots, 3 daemons", args.adapters);
     let revision = settings(&world, args.adapters).await;
     if !world.settled(revision).await {
-        return Err(Failure::Daemon("the daemons did not come up".into()));
+        return Err(Failure::Daemon("the daemons did not become ready".into()));
     }
     let result = match args.serve {
         true => serve(&world).await,
@@ -92,12 +92,12 @@
 async fn load(world: &mut World, args: &Demo) -> Result<(), Failure> {
     let plan = plan::Plan::new(args);
     let mut load = Load::new(world, plan);
-    let mut judge = Judge::default();
-    load.run(world, &mut judge).await;
-    let seen = load.finish().await;
-    let broken = judge.judge(world, &seen);
-    print!("{}", report::text(world, &seen, &judge, &broken));
-    match broken.iter().map(|promise| promise.broken).sum() {
+    let mut checker = GuaranteeChecker::default();
+    load.run(world, &mut checker).await;
+    let observed = load.finish().await;
+    let guarantees = checker.check(world, &observed);
+    print!("{}", report::text(world, &observed, &checker, &guarantees));
+    match guarantees.iter().map(|guarantee| guarantee.broken).sum() {
         0 => Ok(()),
         count => Err(Failure::Broken(count)),
     }
--- a/crates/portrack-cli/src/demo/seen.rs
+++ b/crates/portrack-cli/src/demo/observations.rs
@@ -1,59 +1,59 @@
-//! What the callers saw.
+//! What the callers observed.
 
 use std::collections::BTreeMap;
 
-/// How one completion ended for its caller.
+/// How a request ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The whole right answer.
+    /// The complete, correct response.
     Right,
-    /// An answer that is not the right one.
+    /// An incorrect response.
     Wrong(String),
-    /// A refusal that says that it did not run.
+    /// A refusal that says that the request did not run.
     NotRun(String),
-    /// A refusal that says that it may have run.
+    /// A refusal that says that the request may have run.
     MayHaveRun(String),
-    /// The connection broke.
+    /// The connection failed.
     CutOff(String),
 }
 
 /// One completion.
 #[derive(Debug, Clone)]
-pub struct CompletionSeen {
-    /// Unlike every other.
+pub struct CompletionObserved {
+    /// Unique among all prompts.
     pub prompt: String,
-    /// What it must have run on.
+    /// The adapter and version that must have served it.
     pub exact: String,
     /// How it ended.
     pub end: End,
-    /// Milliseconds from arrival to start, by the daemon's word.
+    /// Milliseconds from arrival to start, as reported by the daemon.
     pub wait_ms: Option<u64>,
-    /// Milliseconds to the first token, by the caller's clock.
+    /// Milliseconds to the first token, as measured by the caller.
     pub first_ms: Option<u64>,
 }
 
-/// One answer to an unlock; one that is sent twice has two.
+/// One response to an unlock; an unlock that is sent twice has two.
 #[derive(Debug, Clone)]
-pub struct UnlockSeen {
+pub struct UnlockObserved {
     /// Its key.
     pub key: String,
     /// How it ended.
     pub end: End,
 }
 
-/// Everything.
+/// All requests with their outcomes.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Completions.
-    pub completions: Vec<CompletionSeen>,
+    pub completions: Vec<CompletionObserved>,
     /// Unlocks.
-    pub unlocks: Vec<UnlockSeen>,
-    /// Ends of lookups.
+    pub unlocks: Vec<UnlockObserved>,
+    /// Outcomes of lookups.
     pub lookups: Vec<End>,
 }
 
-impl Seen {
-    /// Refusals by their reason.
+impl Observations {
+    /// Number of refusals by reason.
     pub fn refusals(&self) -> BTreeMap<String, usize> {
         let completions = self.completions.iter().map(|c| &c.end);
         let unlocks = self.unlocks.iter().map(|u| &u.end);
--- a/crates/portrack-cli/src/demo/plan.rs
+++ b/crates/portrack-cli/src/demo/plan.rs
@@ -1,13 +1,13 @@
-//! What the demonstration sends, by fixed seed.
+//! The load of the demonstration, generated from a fixed seed.
 
 use crate::args::Demo;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Exponent of the popularity of adapters.
-const ZIPF: f64 = 1.3;
-/// The seed of all choices.
+/// Exponent of the Zipf distribution of requests over adapters.
+const ZIPF_EXPONENT: f64 = 1.3;
+/// Seed of the random generator.
 const SEED: u64 = 2_026;
 
 /// The name of an adapter.
@@ -22,41 +22,41 @@
     Completion {
         /// `adapter` or `adapter@version`.
         model: String,
-        /// What it must run on.
+        /// The adapter and version that must serve it.
         exact: String,
-        /// Unlike every other.
+        /// Unique among all prompts.
         prompt: String,
-        /// Tokens wanted.
+        /// Number of tokens requested.
         tokens: usize,
-        /// Whether it may wait.
+        /// True for the background class.
         background: bool,
     },
     /// An unlock that must not run twice, under an idempotency key.
     Unlock {
         /// The key, which is also the body.
         key: String,
-        /// Whether it is sent to two daemons at the same time.
+        /// True if it is sent to two daemons at the same time.
         twice: bool,
     },
     /// A lookup that may be repeated.
     Lookup,
 }
 
-/// The whole load.
+/// Generator of the load.
 pub struct Plan {
     rng: SmallRng,
     weights: Vec<f64>,
     sent: usize,
-    /// How long it lasts.
+    /// Duration of the load.
     pub span: Duration,
     /// Time between requests.
     pub pause: Duration,
 }
 
 impl Plan {
-    /// A plan for these arguments.
+    /// Creates a plan from the arguments.
     pub fn new(args: &Demo) -> Self {
-        let weight = |at: usize| 1.0 / ((at + 1) as f64).powf(ZIPF);
+        let weight = |at: usize| 1.0 / ((at + 1) as f64).powf(ZIPF_EXPONENT);
         Self {
             rng: SmallRng::seed_from_u64(SEED),
             weights: (0..args.adapters.max(1)).map(weight).collect(),
--- a/crates/portrack-cli/src/failure.rs
+++ b/crates/portrack-cli/src/failure.rs
@@ -1,26 +1,27 @@
-//! Why a command failed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// Exit codes: 1 for a failure on the way, 2 for bad input, 3 for a conflict with another
-/// operator, 4 for an outcome that is not known, 5 for a broken promise in the demonstration.
+/// Error of a command. Exit codes: 1 for an unreachable or refusing daemon or an I/O error, 2 for invalid
+/// input, 3 for a conflict with another operator, 4 for an unknown outcome, 5 for a guarantee violated in
+/// the demonstration.
 #[derive(Debug)]
 pub enum Failure {
-    /// The daemon cannot be reached, or refuses.
+    /// The daemon cannot be reached or refused the request.
     Daemon(String),
-    /// The input is bad.
+    /// The input is invalid.
     Input(String),
     /// Another operator changed the same value.
     Conflict(String),
     /// The change may or may not have been accepted.
     Unknown(String),
-    /// The demonstration found broken promises.
+    /// The demonstration found violated guarantees; holds their number.
     Broken(usize),
 }
 
 impl Failure {
-    /// The code that the process ends with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Daemon(_) => 1,
@@ -37,8 +38,8 @@
         match self {
             Self::Daemon(what) | Self::Input(what) => f.write_str(what),
             Self::Conflict(what) => write!(f, "conflict: {what}"),
-            Self::Unknown(what) => write!(f, "not known: {what}"),
-            Self::Broken(count) => write!(f, "{count} promises were broken"),
+            Self::Unknown(what) => write!(f, "outcome unknown: {what}"),
+            Self::Broken(count) => write!(f, "{count} violations of guarantees"),
         }
     }
 }
--- a/crates/portrack-cli/src/main.rs
+++ b/crates/portrack-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, and a demonstration that needs nothing but this program.
+//! Command line tool for operators, with a self-contained demonstration.
 
 mod args;
 mod client;
--- a/crates/portrack-cli/src/output.rs
+++ b/crates/portrack-cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Text or JSON.
+//! Output of results as text or JSON.
 
 use serde::Serialize;
 use std::str::FromStr;
@@ -6,9 +6,9 @@
 /// How results are printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON.
     Json,
 }
 
@@ -18,13 +18,13 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            other => Err(format!("{other:?} is neither text nor json")),
+            other => Err(format!("unknown output format {other:?}, expected text or json")),
         }
     }
 }
 
 impl Output {
-    /// Prints a value as JSON, or as the text that `text` makes of it.
+    /// Prints a value as JSON, or as text formatted by `text`.
     pub fn print<T: Serialize>(self, value: &T, text: impl FnOnce(&T) -> String) {
         match self {
             Self::Text => print!("{}", text(value)),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Lines of columns, each as wide as its widest cell.
+/// Formats rows as a table; each column is as wide as its widest cell.
 pub fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width =
--- a/crates/portrack-cli/tests/cli.rs
+++ b/crates/portrack-cli/tests/cli.rs
@@ -1,20 +1,20 @@
-//! The command line against a real daemon.
+//! Runs the command line tool against a real daemon.
 
 use portrack_standins::world::{World, WorldConfig};
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
-/// Runs `portrack` while the world goes on.
+/// Runs `portrack` without blocking the daemons of the test process.
 async fn portrack(world: &World, args: &[&str]) -> Output {
     let node = world.daemon("a1").operators().to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_portrack"));
     command.args(["--node", &node]).args(args);
     let mut child =
         command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("the program starts");
-    while child.try_wait().expect("it can be waited for").is_none() {
+    while child.try_wait().expect("the process can be polled").is_none() {
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    child.wait_with_output().expect("its output can be read")
+    child.wait_with_output().expect("the output can be read")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -22,7 +22,7 @@
 }
 
 #[actix_rt::test]
-async fn operators_change_read_explain_and_look_back() {
+async fn operators_can_change_explain_and_audit_settings() {
     let folder = std::env::temp_dir().join(format!("portrack-cli-{}", std::process::id()));
     let config = WorldConfig {
         daemons: vec![1],
