--- a/crates/portrack-standins/src/engine/config.rs
+++ b/crates/portrack-standins/src/engine/config.rs
@@ -1,24 +1,24 @@
-//! What a stand-in engine is like.
+//! Configuration of a stand-in engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sizes and speeds.
+/// Sizes, speeds and capabilities of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
     /// Adapter slots.
     pub slots: usize,
-    /// Requests that one step carries.
+    /// Most requests in one batch.
     pub batch: usize,
-    /// Time of a step with an empty batch.
+    /// Base duration of a step.
     pub step: Duration,
-    /// What each request in the batch adds to a step.
+    /// Time that each request in the batch adds to a step.
     pub step_each: Duration,
-    /// How far the reported load lags.
+    /// How old the reported load is.
     pub lag: Duration,
-    /// Whether it refuses orders below its highest fence.
+    /// Whether orders with a fence below the current one are refused.
     pub checks_fence: bool,
 }
 
--- a/crates/portrack-standins/src/engine/mod.rs
+++ b/crates/portrack-standins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine with adapter slots and continuous batches.
+//! A stand-in model engine with adapter slots and continuous batching.
 
 mod config;
 mod http;
--- a/crates/portrack-standins/src/engine/record.rs
+++ b/crates/portrack-standins/src/engine/record.rs
@@ -1,13 +1,13 @@
-//! What an engine remembers for the judge.
+//! What an engine records, for checks after a test or a demonstration.
 
-/// An order that came.
+/// An order that the engine received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderSeen {
     /// `load`, `unload` or `fence`.
     pub kind: &'static str,
     /// The adapter; empty for a fence.
     pub adapter: String,
-    /// The fence it carried.
+    /// The fence that the order carried.
     pub fence: u64,
     /// Whether it was carried out.
     pub done: bool,
@@ -15,45 +15,45 @@
     pub in_use: usize,
 }
 
-/// A request that ran.
+/// A request that the engine ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunSeen {
-    /// The request.
+    /// The request's id.
     pub id: String,
-    /// The adapter it was sent for.
+    /// The adapter that it was sent for.
     pub model: String,
     /// Its prompt, as JSON text.
     pub prompt: String,
-    /// Whether it came to its end.
+    /// Whether it ran to its end.
     pub whole: bool,
 }
 
-/// Everything of one engine since its beginning, restarts included.
+/// Everything that one engine recorded since it was created, across restarts.
 #[derive(Debug, Clone, Default)]
 pub struct EngineRecord {
-    /// Orders, in order.
+    /// Orders in the order of their arrival.
     pub orders: Vec<OrderSeen>,
-    /// Runs, in order of their start.
+    /// Runs in the order of their start.
     pub runs: Vec<RunSeen>,
-    /// Steps made with at least one request.
+    /// Steps with at least one request.
     pub steps: u64,
-    /// Requests in those steps, added up.
+    /// Sum of the batch sizes of those steps.
     pub stepped: u64,
-    /// Requests that came for an adapter that was not there.
+    /// Requests rejected because their adapter was not loaded.
     pub misses: u64,
-    /// Requests that came to a full batch.
-    pub overfull: u64,
+    /// Requests rejected because the batch was full.
+    pub full_batch: u64,
 }
 
 impl EngineRecord {
     /// Unloads that were carried out while requests ran on the adapter.
     pub fn unloads_in_use(&self) -> usize {
-        let broken = |o: &&OrderSeen| o.kind == "unload" && o.done && o.in_use > 0;
-        self.orders.iter().filter(broken).count()
+        let unload_in_use = |o: &&OrderSeen| o.kind == "unload" && o.done && o.in_use > 0;
+        self.orders.iter().filter(unload_in_use).count()
     }
 
-    /// Requests a step carried on average.
-    pub fn depth(&self) -> f64 {
+    /// Average number of requests in a step.
+    pub fn mean_batch_size(&self) -> f64 {
         self.stepped as f64 / self.steps.max(1) as f64
     }
 }
--- a/crates/portrack-standins/src/engine/state.rs
+++ b/crates/portrack-standins/src/engine/state.rs
@@ -1,18 +1,18 @@
-//! Slots, running requests and the fence of one engine.
+//! State of one engine: adapter slots, running requests and fence.
 
 use super::config::EngineConfig;
 use super::record::{EngineRecord, OrderSeen, RunSeen};
-use super::stream::{Shared, StreamState};
+use super::stream::{SharedStream, StreamState};
 use crate::expect;
 use portrack::engine::{RunningStatus, Status};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Ended streams that can still be resumed.
-const ENDED_KEPT: usize = 256;
+/// Most ended streams that are retained for resumption.
+const MAX_ENDED_STREAMS: usize = 256;
 
-/// Everything that a restart empties, and the record, which it does not.
+/// The engine's state. A restart clears requests, slots and fence; the record stays.
 pub struct EngineState {
     pub config: EngineConfig,
     pub epoch: u64,
@@ -20,16 +20,16 @@
     pub leaving: bool,
     pub loaded: BTreeSet<String>,
     pub loading: BTreeSet<String>,
-    pub running: BTreeMap<String, Shared>,
-    pub ended: VecDeque<Shared>,
+    pub running: BTreeMap<String, SharedStream>,
+    pub ended: VecDeque<SharedStream>,
     pub record: EngineRecord,
     pub fail_loads: usize,
     pub break_streams: usize,
     history: VecDeque<(Instant, Status)>,
 }
 
-/// A request as it comes.
-pub struct Arrival {
+/// An incoming request.
+pub struct NewRequest {
     pub id: String,
     pub model: String,
     pub prompt: String,
@@ -37,11 +37,11 @@
     pub tokens: usize,
 }
 
-/// Why a request is refused, always before it runs.
-pub enum Refused {
-    Missing,
-    Full,
-    Repeated,
+/// Why a request is rejected. A rejected request has not run.
+pub enum Rejection {
+    NotLoaded,
+    BatchFull,
+    DuplicateId,
 }
 
 impl EngineState {
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Accepts a higher fence. `Err` has the highest.
-    pub fn raise(&mut self, fence: u64) -> Result<(), u64> {
+    /// Accepts a fence above the current one. `Err` holds the current fence.
+    pub fn raise_fence(&mut self, fence: u64) -> Result<(), u64> {
         let done = fence > self.fence;
-        self.note("fence", "", fence, done);
+        self.record_order("fence", "", fence, done);
         if !done {
             return Err(self.fence);
         }
@@ -73,35 +73,35 @@
         Ok(())
     }
 
-    fn note(&mut self, kind: &'static str, adapter: &str, fence: u64, done: bool) {
+    fn record_order(&mut self, kind: &'static str, adapter: &str, fence: u64, done: bool) {
         let in_use = self.running.values().filter(|s| s.model == adapter).count();
         let adapter = adapter.to_owned();
         self.record.orders.push(OrderSeen { kind, adapter, fence, done, in_use });
     }
 
-    fn fenced(&self, fence: u64) -> bool {
+    fn is_stale(&self, fence: u64) -> bool {
         self.config.checks_fence && fence < self.fence
     }
 
-    /// Begins a load. `Err(Some)` is the fence that forbids it, `Err(None)` a failure.
+    /// Starts a load. `Err(Some)` holds the fence that forbids it, `Err(None)` is a failure.
     pub fn begin_load(&mut self, adapter: &str, fence: u64) -> Result<(), Option<u64>> {
-        if self.fenced(fence) {
-            self.note("load", adapter, fence, false);
+        if self.is_stale(fence) {
+            self.record_order("load", adapter, fence, false);
             return Err(Some(self.fence));
         }
         let used = self.loaded.len() + self.loading.len();
         let known = self.loaded.contains(adapter) || self.loading.contains(adapter);
         if known || used >= self.config.slots || self.fail_loads > 0 {
             self.fail_loads = self.fail_loads.saturating_sub(1);
-            self.note("load", adapter, fence, false);
+            self.record_order("load", adapter, fence, false);
             return Err(None);
         }
         self.loading.insert(adapter.to_owned());
-        self.note("load", adapter, fence, true);
+        self.record_order("load", adapter, fence, true);
         Ok(())
     }
 
-    /// Ends a load that was begun in `epoch`.
+    /// Completes a load that was started in `epoch`. False if the engine has restarted since.
     pub fn end_load(&mut self, adapter: &str, epoch: u64) -> bool {
         if epoch != self.epoch || !self.loading.remove(adapter) {
             return false;
@@ -110,32 +110,32 @@
         true
     }
 
-    /// Unloads. An engine does as it is told; the record shows whether it should have been.
+    /// Unloads an adapter even while requests use it. The record shows whether any did.
     pub fn unload(&mut self, adapter: &str, fence: u64) -> Result<(), Option<u64>> {
-        if self.fenced(fence) {
-            self.note("unload", adapter, fence, false);
+        if self.is_stale(fence) {
+            self.record_order("unload", adapter, fence, false);
             return Err(Some(self.fence));
         }
         let done = self.loaded.contains(adapter);
-        self.note("unload", adapter, fence, done);
+        self.record_order("unload", adapter, fence, done);
         self.loaded.remove(adapter);
         if done { Ok(()) } else { Err(None) }
     }
 
-    /// Takes a request into the batch.
-    pub fn begin(&mut self, arrival: Arrival) -> Result<Shared, Refused> {
-        if !self.loaded.contains(&arrival.model) {
+    /// Adds a request to the batch.
+    pub fn start_request(&mut self, request: NewRequest) -> Result<SharedStream, Rejection> {
+        if !self.loaded.contains(&request.model) {
             self.record.misses += 1;
-            return Err(Refused::Missing);
+            return Err(Rejection::NotLoaded);
         }
-        if self.running.contains_key(&arrival.id) {
-            return Err(Refused::Repeated);
+        if self.running.contains_key(&request.id) {
+            return Err(Rejection::DuplicateId);
         }
         if self.running.len() >= self.config.batch {
-            self.record.overfull += 1;
-            return Err(Refused::Full);
+            self.record.full_batch += 1;
+            return Err(Rejection::BatchFull);
         }
-        let Arrival { id, model, prompt, chat, tokens } = arrival;
+        let NewRequest { id, model, prompt, chat, tokens } = request;
         let run =
             RunSeen { id: id.clone(), model: model.clone(), prompt: prompt.clone(), whole: false };
         self.record.runs.push(run);
@@ -145,55 +145,55 @@
         Ok(stream)
     }
 
-    /// One step: every running request gets a token.
+    /// Runs one step, which generates a token for every running request.
     pub fn step(&mut self) {
         if self.running.is_empty() {
             return;
         }
         self.record.steps += 1;
         self.record.stepped += self.running.len() as u64;
-        let streams: Vec<Shared> = self.running.values().cloned().collect();
+        let streams: Vec<SharedStream> = self.running.values().cloned().collect();
         for stream in streams {
             self.advance(&stream);
         }
     }
 
-    fn advance(&mut self, stream: &Shared) {
-        let at = stream.made.get();
+    fn advance(&mut self, stream: &SharedStream) {
+        let at = stream.tokens_made.get();
         if at < stream.tokens {
             let text = expect::token(&stream.model, &stream.prompt, at);
             stream.push(chunk(stream, &text, at + 1 == stream.tokens));
-            stream.made.set(at + 1);
+            stream.tokens_made.set(at + 1);
             return;
         }
         stream.push("[DONE]".to_owned());
         stream.close();
-        self.end(&stream.id, true);
+        self.end_request(&stream.id, true);
     }
 
-    /// Takes a request out of the batch.
-    pub fn end(&mut self, id: &str, whole: bool) {
+    /// Removes a request from the batch. `whole` says whether it ran to its end.
+    pub fn end_request(&mut self, id: &str, whole: bool) {
         let Some(stream) = self.running.remove(id) else { return };
         if let Some(run) = self.record.runs.iter_mut().rev().find(|run| run.id == id) {
             run.whole = whole;
         }
         stream.close();
         self.ended.push_back(stream);
-        if self.ended.len() > ENDED_KEPT {
+        if self.ended.len() > MAX_ENDED_STREAMS {
             self.ended.pop_front();
         }
     }
 
-    /// The stream of a request that runs or has ended lately.
-    pub fn find(&self, id: &str) -> Option<Shared> {
+    /// The stream of a request that is running or among the last to end.
+    pub fn find_stream(&self, id: &str) -> Option<SharedStream> {
         let ended = || self.ended.iter().find(|stream| stream.id == id);
         self.running.get(id).or_else(ended).cloned()
     }
 
-    /// Restarts empty: streams are cut off, slots and fence are gone.
+    /// Restarts empty: aborts all streams, clears the slots and resets the fence.
     pub fn restart(&mut self) {
         for stream in self.running.values() {
-            stream.break_off();
+            stream.abort();
         }
         self.running.clear();
         self.ended.clear();
@@ -204,7 +204,7 @@
         self.history.clear();
     }
 
-    fn status_now(&self) -> Status {
+    fn current_status(&self) -> Status {
         let running = self
             .running
             .values()
@@ -221,19 +221,19 @@
         }
     }
 
-    /// Remembers the status of now for lagging reports.
-    pub fn remember(&mut self) {
+    /// Stores the current status, so that it can be reported after the lag.
+    pub fn record_status(&mut self) {
         let now = Instant::now();
-        self.history.push_back((now, self.status_now()));
+        self.history.push_back((now, self.current_status()));
         let lag = self.config.lag;
         while self.history.get(1).is_some_and(|(at, _)| now.duration_since(*at) >= lag) {
             self.history.pop_front();
         }
     }
 
-    /// The status as reported: load and slots of a moment ago, epoch and fence of now.
+    /// The reported status: load and slots lag, epoch, fence and leaving are current.
     pub fn status(&self) -> Status {
-        let now = self.status_now();
+        let now = self.current_status();
         let Some((_, old)) = self.history.front() else { return now };
         Status { epoch: now.epoch, fence: now.fence, leaving: now.leaving, ..old.clone() }
     }
--- a/crates/portrack-standins/src/engine/step.rs
+++ b/crates/portrack-standins/src/engine/step.rs
@@ -1,24 +1,24 @@
-//! The engine's loop: one step after the other, slower the deeper the batch.
+//! The engine's step loop. A step takes longer with more requests in the batch.
 
 use super::state::EngineState;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause of an idle engine.
-const IDLE: Duration = Duration::from_millis(2);
+/// Pause between steps while no request runs.
+const IDLE_PAUSE: Duration = Duration::from_millis(2);
 
-/// Steps for ever.
+/// Runs steps until the task is aborted.
 pub async fn run(state: Rc<RefCell<EngineState>>) {
     loop {
         let pause = {
             let mut state = state.borrow_mut();
             state.step();
-            state.remember();
-            let depth = u32::try_from(state.running.len()).unwrap_or(u32::MAX);
-            match depth {
-                0 => IDLE,
-                _ => state.config.step + state.config.step_each * depth,
+            state.record_status();
+            let batch_size = u32::try_from(state.running.len()).unwrap_or(u32::MAX);
+            match batch_size {
+                0 => IDLE_PAUSE,
+                _ => state.config.step + state.config.step_each * batch_size,
             }
         };
         actix_rt::time::sleep(pause).await;
--- a/crates/portrack-standins/src/engine/stream.rs
+++ b/crates/portrack-standins/src/engine/stream.rs
@@ -1,10 +1,10 @@
-//! One request's stream, kept so that it can be resumed.
+//! The stream of one request, retained so that it can be resumed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Chunks so far.
+/// A request and the chunks generated for it so far.
 #[derive(Default)]
 pub struct StreamState {
     pub id: String,
@@ -12,34 +12,34 @@
     pub prompt: String,
     pub chat: bool,
     pub tokens: usize,
-    pub made: Cell<usize>,
+    pub tokens_made: Cell<usize>,
     pub chunks: RefCell<Vec<String>>,
-    /// The engine will add nothing more.
+    /// No more chunks follow.
     pub closed: Cell<bool>,
-    /// Readers are cut off, as by a restart.
-    pub broken: Cell<bool>,
-    pub grown: Notify,
+    /// Readers' connections are cut, as by a restart.
+    pub aborted: Cell<bool>,
+    pub updated: Notify,
 }
 
-/// A shared stream.
-pub type Shared = Rc<StreamState>;
+/// A stream shared between the engine and its readers.
+pub type SharedStream = Rc<StreamState>;
 
 impl StreamState {
-    /// Adds a chunk and wakes readers.
+    /// Appends a chunk and wakes the readers.
     pub fn push(&self, chunk: String) {
         self.chunks.borrow_mut().push(chunk);
-        self.grown.notify_waiters();
+        self.updated.notify_waiters();
     }
 
-    /// Nothing more comes.
+    /// Marks the stream as complete and wakes the readers.
     pub fn close(&self) {
         self.closed.set(true);
-        self.grown.notify_waiters();
+        self.updated.notify_waiters();
     }
 
-    /// Cuts readers off.
-    pub fn break_off(&self) {
-        self.broken.set(true);
+    /// Closes the stream and cuts the readers' connections.
+    pub fn abort(&self) {
+        self.aborted.set(true);
         self.close();
     }
 }
--- a/crates/portrack-standins/src/host.rs
+++ b/crates/portrack-standins/src/host.rs
@@ -1,4 +1,4 @@
-//! One listener of a stand-in.
+//! The HTTP listener of a stand-in.
 
 use actix_http::Request;
 use actix_rt::net::TcpListener;
--- a/crates/portrack-standins/src/kv/faults.rs
+++ b/crates/portrack-standins/src/kv/faults.rs
@@ -1,17 +1,17 @@
-//! How the service misbehaves.
+//! Faults that the key-value service can inject.
 
 use std::time::Duration;
 
-/// One kind of misbehaviour.
+/// A fault of the service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It works.
+    /// No fault.
     #[default]
     None,
-    /// It answers nothing but errors.
+    /// Every call is answered with an error.
     Down,
-    /// Every answer takes this long.
+    /// Every call is delayed by this time.
     Slow(Duration),
-    /// Writes take effect, and their answers are lost.
-    LoseWriteAnswers,
+    /// Writes take effect, but their responses are cut off.
+    DropWriteResponses,
 }
--- a/crates/portrack-standins/src/kv/http.rs
+++ b/crates/portrack-standins/src/kv/http.rs
@@ -1,4 +1,4 @@
-//! The service's HTTP side.
+//! The key-value service's HTTP interface.
 
 use super::faults::Fault;
 use super::lapse::lapse_always;
@@ -17,9 +17,9 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The largest body taken, in bytes.
+/// Largest accepted request body, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
-/// The largest value stored, in bytes.
+/// Largest accepted value, in bytes.
 const MAX_VALUE: usize = 1024 * 1024;
 
 #[derive(Default)]
@@ -44,7 +44,7 @@
         let shared = Rc::new(Shared::default());
         let served = shared.clone();
         let (address, listener) =
-            host(address, move |request| answer(served.clone(), request)).await?;
+            host(address, move |request| handle(served.clone(), request)).await?;
         let lapsing = shared.clone();
         let lapse =
             actix_rt::spawn(async move { lapse_always(&lapsing.store, &lapsing.changed).await });
@@ -56,18 +56,18 @@
         format!("http://{}", self.address)
     }
 
-    /// Misbehaves from now on.
+    /// Injects a fault; it stays until another is set.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.fault.set(fault);
         self.shared.changed.notify_waiters();
     }
 
-    /// Reads and writes so far; a watch is a read.
+    /// Number of reads and writes so far; a watch counts as a read.
     pub fn calls(&self) -> (u64, u64) {
         (self.shared.reads.get(), self.shared.writes.get())
     }
 
-    /// Writes a key as somebody else would.
+    /// Writes a key directly, as another client would.
     pub fn put(&self, key: &str, value: &[u8]) {
         let put = (key.as_bytes().to_vec(), value.to_vec(), 0);
         self.shared.store.borrow_mut().put(vec![put]);
@@ -79,7 +79,7 @@
         self.shared.store.borrow().get(key.as_bytes()).map(|held| held.value.clone())
     }
 
-    /// Ends it.
+    /// Stops the listener and the expiry of leases.
     pub fn stop(&self) {
         for task in &self.tasks {
             task.abort();
@@ -87,19 +87,19 @@
     }
 }
 
-async fn answer(shared: Rc<Shared>, mut request: Request) -> Reply {
+async fn handle(shared: Rc<Shared>, mut request: Request) -> Reply {
     let path = request.path().to_owned();
     match shared.fault.get() {
         Fault::Down => return http::plain(StatusCode::SERVICE_UNAVAILABLE, "down\n"),
         Fault::Slow(pause) => actix_rt::time::sleep(pause).await,
-        Fault::None | Fault::LoseWriteAnswers => {}
+        Fault::None | Fault::DropWriteResponses => {}
     }
     let body = match read_body(&mut request, MAX_BODY, Duration::from_secs(5)).await {
         Ok(body) => body,
         Err(refusal) => return http::plain(StatusCode::BAD_REQUEST, refusal.detail),
     };
     let Ok(body) = serde_json::from_slice::<Value>(&body) else {
-        return http::plain(StatusCode::BAD_REQUEST, "no JSON\n");
+        return http::plain(StatusCode::BAD_REQUEST, "the body is not valid JSON\n");
     };
     let writes = ["/v3/kv/txn", "/v3/lease/grant", "/v3/lease/revoke", "/v3/lease/keepalive"];
     let is_write = writes.contains(&path.as_str());
@@ -114,13 +114,13 @@
         "/v3/watch" => return watch(&shared, &body),
         _ => http::plain(StatusCode::NOT_FOUND, "no such call\n"),
     };
-    match is_write && shared.fault.get() == Fault::LoseWriteAnswers {
-        true => lost(),
+    match is_write && shared.fault.get() == Fault::DropWriteResponses {
+        true => truncated_reply(),
         false => reply,
     }
 }
 
-fn lost() -> Reply {
+fn truncated_reply() -> Reply {
     let broken = Err(std::io::Error::other("lost"));
     http::events(futures_util::stream::iter([Ok(Bytes::from_static(b"{")), broken]))
 }
@@ -154,8 +154,9 @@
 }
 
 fn txn(shared: &Shared, body: &Value) -> Reply {
-    let holds = body["compare"].as_array().is_none_or(|all| all.iter().all(|c| holds(shared, c)));
-    if holds {
+    let succeeded =
+        body["compare"].as_array().is_none_or(|all| all.iter().all(|c| compare_holds(shared, c)));
+    if succeeded {
         let empty = Vec::new();
         let operations = body["success"].as_array().unwrap_or(&empty);
         let puts = operations.iter().map(|op| &op["request_put"]).filter(|put| !put.is_null());
@@ -165,7 +166,7 @@
         let too_large = puts.iter().any(|(_, value, _)| value.len() > MAX_VALUE);
         let leases = puts.iter().all(|(_, _, id)| shared.store.borrow().has_lease(*id));
         if too_large || !leases {
-            return http::plain(StatusCode::BAD_REQUEST, "value too large or lease gone\n");
+            return http::plain(StatusCode::BAD_REQUEST, "value too large or lease expired\n");
         }
         if !puts.is_empty() {
             shared.store.borrow_mut().put(puts);
@@ -177,10 +178,10 @@
         }
         shared.changed.notify_waiters();
     }
-    http::json(StatusCode::OK, &json!({ "header": header(shared), "succeeded": holds }))
+    http::json(StatusCode::OK, &json!({ "header": header(shared), "succeeded": succeeded }))
 }
 
-fn holds(shared: &Shared, compare: &Value) -> bool {
+fn compare_holds(shared: &Shared, compare: &Value) -> bool {
     let store = shared.store.borrow();
     let held = store.get(&bytes(&compare["key"]));
     match compare["target"].as_str() {
@@ -208,7 +209,7 @@
     http::json(StatusCode::OK, &json!({ "header": header(shared) }))
 }
 
-/// Lines of events from a revision on, until the caller goes or the service falls out.
+/// Streams events from a revision on, until the caller disconnects or the service goes down.
 fn watch(shared: &Rc<Shared>, body: &Value) -> Reply {
     let create = &body["create_request"];
     let (start, end) = (bytes(&create["key"]), bytes(&create["range_end"]));
--- a/crates/portrack-standins/src/kv/lapse.rs
+++ b/crates/portrack-standins/src/kv/lapse.rs
@@ -1,17 +1,17 @@
-//! Leases that are not renewed.
+//! Expiry of leases that are not renewed.
 
 use super::state::Store;
 use std::cell::RefCell;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Between looks for lapsed leases.
-const LAPSE_EVERY: Duration = Duration::from_millis(100);
+/// Interval between checks for expired leases.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Ends leases that were not renewed, for ever; wakes those who wait for changes.
+/// Ends expired leases until the task is aborted, and wakes the waiting watches.
 pub async fn lapse_always(store: &RefCell<Store>, changed: &Notify) {
     loop {
-        actix_rt::time::sleep(LAPSE_EVERY).await;
+        actix_rt::time::sleep(EXPIRY_INTERVAL).await;
         if store.borrow_mut().lapse() {
             changed.notify_waiters();
         }
--- a/crates/portrack-standins/src/kv/mod.rs
+++ b/crates/portrack-standins/src/kv/mod.rs
@@ -1,4 +1,4 @@
-//! A key-value service that speaks the JSON gateway of etcd v3, as far as portrack calls it.
+//! A key-value service with the part of etcd v3's JSON gateway that portrack uses.
 
 mod faults;
 mod http;
--- a/crates/portrack-standins/src/kv/state.rs
+++ b/crates/portrack-standins/src/kv/state.rs
@@ -1,29 +1,29 @@
-//! Keys, revisions and leases.
+//! State of the key-value service: keys, revisions and leases.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// One key.
+/// A stored key's value and revisions.
 #[derive(Debug, Clone)]
 pub struct Held {
     /// Its value.
     pub value: Vec<u8>,
-    /// The revision at which it came.
+    /// The revision that created the key.
     pub created: u64,
-    /// The revision of its last change.
+    /// The revision of the last change.
     pub changed: u64,
-    /// The lease it hangs on, 0 for none.
+    /// The lease that the key is attached to, 0 for none.
     pub lease: u64,
 }
 
-/// A change, for watches.
+/// A change of a key, as watches report it.
 #[derive(Debug, Clone)]
 pub struct Changed {
     /// The key.
     pub key: Vec<u8>,
-    /// The revision that the change made.
+    /// The revision of the change.
     pub revision: u64,
-    /// None for a removal.
+    /// The new value; `None` for a removal.
     pub value: Option<Vec<u8>>,
 }
 
@@ -33,20 +33,20 @@
     renewed: Instant,
 }
 
-/// The whole store.
+/// All keys, leases and changes.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
-    /// Rises with every change.
+    /// Increases with every change.
     pub revision: u64,
     keys: BTreeMap<Vec<u8>, Held>,
-    /// All changes, the oldest first.
+    /// All changes, oldest first.
     pub history: Vec<Changed>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
 }
 
 impl Store {
-    /// What was there at an earlier moment, of which `copy` was taken, with its leases running on from now.
+    /// Restores the store from an earlier `copy`. The copy's leases count as renewed now.
     pub fn come_back(&mut self, copy: Self) {
         *self = copy;
         self.leases.values_mut().for_each(|lease| lease.renewed = Instant::now());
@@ -57,7 +57,7 @@
         self.keys.iter()
     }
 
-    /// Keys from `start` up to and without `end`; only `start` if `end` is empty.
+    /// The keys from `start` to `end`, excluding `end`; only `start` if `end` is empty.
     pub fn range(&self, start: &[u8], end: &[u8]) -> Vec<(Vec<u8>, Held)> {
         let one = end.is_empty();
         let within = |key: &[u8]| if one { key == start } else { key >= start && key < end };
@@ -65,12 +65,12 @@
         keys.map(|(key, held)| (key.clone(), held.clone())).collect()
     }
 
-    /// One key.
+    /// The entry of a key.
     pub fn get(&self, key: &[u8]) -> Option<&Held> {
         self.keys.get(key)
     }
 
-    /// Writes keys in one revision.
+    /// Writes keys, each with a lease id, in one revision.
     pub fn put(&mut self, puts: Vec<(Vec<u8>, Vec<u8>, u64)>) {
         self.revision += 1;
         let revision = self.revision;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Removes a key, if it is there.
+    /// Removes a key if it exists.
     pub fn remove(&mut self, key: Vec<u8>) {
         if self.keys.remove(&key).is_some() {
             self.revision += 1;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A new lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, ttl: Duration) -> u64 {
         self.next_lease += 1;
         let id = 7_000 + self.next_lease;
@@ -106,7 +106,7 @@
         id
     }
 
-    /// Renews a lease; its seconds, or none if it is gone.
+    /// Renews a lease. Returns its time to live in seconds, `None` if it has expired.
     pub fn renew(&mut self, id: u64) -> Option<u64> {
         self.lapse();
         let lease = self.leases.get_mut(&id)?;
@@ -114,29 +114,29 @@
         Some(lease.ttl.as_secs().max(1))
     }
 
-    /// True if the lease lives, or none is meant.
+    /// True if the lease exists or `id` is 0, which stands for no lease.
     pub fn has_lease(&self, id: u64) -> bool {
         id == 0 || self.leases.contains_key(&id)
     }
 
-    /// Ends a lease.
+    /// Ends a lease and removes the keys attached to it.
     pub fn revoke(&mut self, id: u64) {
         if self.leases.remove(&id).is_some() {
             self.remove_leased(id);
         }
     }
 
-    /// Ends leases that were not renewed. True if any key went.
+    /// Ends the leases that were not renewed in time. True if any lease ended.
     pub fn lapse(&mut self) -> bool {
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.renewed.elapsed() >= lease.ttl)
             .map(|(id, _)| *id)
             .collect();
-        for id in &late {
+        for id in &expired {
             self.revoke(*id);
         }
-        !late.is_empty()
+        !expired.is_empty()
     }
 }
--- a/crates/portrack-standins/src/lib.rs
+++ b/crates/portrack-standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the systems that portrack meets, for tests, the demonstration and use by hand.
+//! Stand-ins for the systems that portrack depends on, for tests, the demonstration and manual use.
 //!
-//! Each listens on loopback, records what was done to it, and can be told to misbehave. They are
-//! no simulator: nothing here stands for a node, a network or a fault between daemons.
+//! Each listens on loopback, records the calls it receives and can inject faults. They simulate
+//! neither nodes nor the network, nor faults between daemons.
 
 pub mod engine;
 pub mod expect;
--- a/crates/portrack-standins/src/main.rs
+++ b/crates/portrack-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program, for use by hand on loopback.
+//! Runs a single stand-in, for manual use on loopback.
 
 use actix_rt::System;
 use argh::FromArgs;
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// stand-ins for the systems that portrack meets
+/// stand-ins for the systems that portrack depends on
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -31,19 +31,19 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineArgs {
-    /// where it listens
+    /// address to listen on
     #[argh(option)]
     listen: SocketAddr,
     /// adapter slots
     #[argh(option, default = "4")]
     slots: usize,
-    /// requests that one step carries
+    /// most requests in one batch
     #[argh(option, default = "8")]
     batch: usize,
-    /// milliseconds that a load takes
+    /// duration of a load, in milliseconds
     #[argh(option, default = "300")]
     load_ms: u64,
-    /// carry out orders whatever their fence
+    /// accept orders with any fence
     #[argh(switch)]
     no_fence: bool,
 }
@@ -52,16 +52,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "key-value")]
 struct KeyValueArgs {
-    /// where it listens
+    /// address to listen on
     #[argh(option)]
     listen: SocketAddr,
 }
 
-/// a plain service that counts its runs
+/// a plain service that counts the runs of each request
 #[derive(FromArgs)]
 #[argh(subcommand, name = "service")]
 struct ServiceArgs {
-    /// where it listens
+    /// address to listen on
     #[argh(option)]
     listen: SocketAddr,
 }
@@ -70,10 +70,10 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "nodes")]
 struct NodesArgs {
-    /// where it listens
+    /// address to listen on
     #[argh(option)]
     listen: SocketAddr,
-    /// a JSON file with the list, read again every second
+    /// JSON file with the list, re-read every second
     #[argh(option)]
     file: PathBuf,
 }
--- a/crates/portrack-standins/src/nodes.rs
+++ b/crates/portrack-standins/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The platform's node list, which lags.
+//! The platform's node list. Changes become visible after a configurable lag.
 
 use crate::host::host;
 use actix_http::StatusCode;
@@ -14,7 +14,7 @@
 struct State {
     lag: Duration,
     lists: RefCell<VecDeque<(Instant, Value)>>,
-    away: Cell<bool>,
+    unavailable: Cell<bool>,
 }
 
 impl State {
@@ -33,15 +33,16 @@
 }
 
 impl Nodes {
-    /// Starts a list on `address` that shows changes after `lag`.
+    /// Serves a node list on `address` that shows changes after `lag`.
     pub async fn start(address: SocketAddr, lag: Duration) -> std::io::Result<Self> {
-        let state = Rc::new(State { lag, lists: RefCell::default(), away: Cell::new(false) });
+        let state =
+            Rc::new(State { lag, lists: RefCell::default(), unavailable: Cell::new(false) });
         let shared = state.clone();
         let (address, task) = host(address, move |_| {
             let shared = shared.clone();
             async move {
-                match shared.away.get() {
-                    true => http::plain(StatusCode::SERVICE_UNAVAILABLE, "away\n"),
+                match shared.unavailable.get() {
+                    true => http::plain(StatusCode::SERVICE_UNAVAILABLE, "unavailable\n"),
                     false => http::json(StatusCode::OK, &shared.list()),
                 }
             }
@@ -55,7 +56,7 @@
         format!("http://{}/v1/nodes", self.address)
     }
 
-    /// Replaces the list; seen after the lag.
+    /// Replaces the list. Readers see the new one after the lag.
     pub fn set(&self, list: Value) {
         let mut lists = self.state.lists.borrow_mut();
         lists.push_back((Instant::now(), list));
@@ -64,12 +65,12 @@
         }
     }
 
-    /// Stops answering, or answers again.
-    pub fn set_away(&self, away: bool) {
-        self.state.away.set(away);
+    /// Makes the list answer with errors, or available again.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.state.unavailable.set(unavailable);
     }
 
-    /// Ends it.
+    /// Stops the listener.
     pub fn stop(&self) {
         self.task.abort();
     }
--- a/crates/portrack-standins/src/service.rs
+++ b/crates/portrack-standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each request ran.
+//! A stand-in plain service that counts how often each request ran.
 
 use crate::host::host;
 use actix_http::{HttpMessage, Request, StatusCode};
@@ -12,16 +12,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest body taken, in bytes.
+/// Largest accepted request body, in bytes.
 const MAX_BODY: usize = 16 * 1024 * 1024;
 
 #[derive(Default)]
 struct State {
-    /// Runs of each body, and of each idempotency key.
+    /// Number of runs by request body.
     bodies: RefCell<BTreeMap<String, usize>>,
+    /// Number of runs by idempotency key.
     keys: RefCell<BTreeMap<String, usize>>,
     delay: Cell<Duration>,
-    lose_answers: Cell<usize>,
+    drop_responses: Cell<usize>,
 }
 
 /// A running stand-in service.
@@ -36,7 +37,7 @@
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let state = Rc::new(State::default());
         let shared = state.clone();
-        let (address, task) = host(address, move |request| answer(shared.clone(), request)).await?;
+        let (address, task) = host(address, move |request| handle(shared.clone(), request)).await?;
         Ok(Self { address, state, task })
     }
 
@@ -45,7 +46,7 @@
         format!("http://{}", self.address)
     }
 
-    /// How often each body that is not empty ran.
+    /// How often each non-empty request body ran.
     pub fn bodies(&self) -> BTreeMap<String, usize> {
         self.state.bodies.borrow().clone()
     }
@@ -55,23 +56,23 @@
         self.state.keys.borrow().clone()
     }
 
-    /// Waits this long before each answer, after the run.
+    /// Delays each response by this time. The request has run by then.
     pub fn set_delay(&self, delay: Duration) {
         self.state.delay.set(delay);
     }
 
-    /// Runs the next `count` requests and breaks their connections instead of answering.
-    pub fn lose_answers(&self, count: usize) {
-        self.state.lose_answers.set(count);
+    /// Runs the next `count` requests, but cuts their connections instead of responding.
+    pub fn drop_responses(&self, count: usize) {
+        self.state.drop_responses.set(count);
     }
 
-    /// Ends it.
+    /// Stops the listener.
     pub fn stop(&self) {
         self.task.abort();
     }
 }
 
-async fn answer(state: Rc<State>, mut request: Request) -> Reply {
+async fn handle(state: Rc<State>, mut request: Request) -> Reply {
     let key = request.headers().get(headers::IDEMPOTENCY_KEY);
     let key = key.and_then(|v| v.to_str().ok()).map(str::to_owned);
     let body = match read_body(&mut request, MAX_BODY, Duration::from_secs(5)).await {
@@ -84,8 +85,8 @@
     if !body.is_empty() {
         *state.bodies.borrow_mut().entry(body.clone()).or_default() += 1;
     }
-    if state.lose_answers.get() > 0 {
-        state.lose_answers.set(state.lose_answers.get() - 1);
+    if state.drop_responses.get() > 0 {
+        state.drop_responses.set(state.drop_responses.get() - 1);
         let broken = Err(std::io::Error::other("lost"));
         return http::events(futures_util::stream::iter([Ok(Bytes::from_static(b"x")), broken]));
     }
--- a/crates/portrack-standins/src/weights.rs
+++ b/crates/portrack-standins/src/weights.rs
@@ -1,18 +1,18 @@
-//! The weight store: a rate and a concurrency of loads, for all engines together.
+//! The weight store, with a limited rate and concurrency of loads for all engines together.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What the store bears and how long a load takes.
+/// Limits of the store and the duration of a load.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightsConfig {
-    /// Loads a second.
+    /// Loads per second before throttling starts.
     pub per_second: f64,
-    /// Loads at full speed at the same time; further ones share the speed.
+    /// Concurrent loads at full speed; more loads slow each other down.
     pub at_once: usize,
-    /// Time of one load at full speed.
+    /// Duration of a load at full speed.
     pub load: Duration,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Weights {
-    /// A store with nothing running.
+    /// Creates a store without running loads.
     pub fn new(config: WeightsConfig) -> Self {
         Self(Rc::new(Inner {
             config: Cell::new(config),
@@ -48,7 +48,8 @@
         }))
     }
 
-    /// Takes as long as a load takes now. Loads beyond the rate are throttled.
+    /// Waits as long as a load takes at the current concurrency. Loads beyond the rate take one
+    /// second more.
     pub async fn load(&self) {
         let inner = &self.0;
         inner.loads.set(inner.loads.get() + 1);
@@ -56,8 +57,8 @@
         let penalty = self.throttle(config);
         inner.running.set(inner.running.get() + 1);
         inner.most_at_once.set(inner.most_at_once.get().max(inner.running.get()));
-        let crowd = inner.running.get().max(config.at_once) as f64 / config.at_once as f64;
-        actix_rt::time::sleep(config.load.mul_f64(crowd) + penalty).await;
+        let slowdown = inner.running.get().max(config.at_once) as f64 / config.at_once as f64;
+        actix_rt::time::sleep(config.load.mul_f64(slowdown) + penalty).await;
         inner.running.set(inner.running.get() - 1);
     }
 
@@ -76,17 +77,17 @@
         second
     }
 
-    /// The most loads that ran at the same time.
+    /// Highest number of concurrent loads so far.
     pub fn most_at_once(&self) -> usize {
         self.0.most_at_once.get()
     }
 
-    /// Loads that came faster than the rate.
+    /// Number of loads that were throttled.
     pub fn over_rate(&self) -> usize {
         self.0.over_rate.get()
     }
 
-    /// All loads.
+    /// Number of all loads.
     pub fn loads(&self) -> usize {
         self.0.loads.get()
     }
--- a/crates/portrack-standins/src/world.rs
+++ b/crates/portrack-standins/src/world.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and some daemons together, in one process and on one thread.
+//! A test environment: the stand-ins and some daemons in one process, on one thread.
 
 use crate::engine::{Engine, EngineConfig};
 use crate::kv::KeyValue;
@@ -21,10 +21,10 @@
 
 /// The base model of every stand-in engine and adapter.
 pub const BASE: &str = "base-7b";
-/// The plain service that every world has, and its path.
+/// The plain service that every world has; its path is `/docks`.
 pub const SERVICE: &str = "docks";
 
-/// What is brought up.
+/// What a [`World`] consists of.
 #[derive(Debug, Clone)]
 pub struct WorldConfig {
     /// Daemons in each hall; halls are named `a`, `b` and so on.
@@ -33,13 +33,13 @@
     pub engines: Vec<usize>,
     /// Plain servers in each hall.
     pub services: Vec<usize>,
-    /// What an engine is like.
+    /// Configuration of every engine.
     pub engine: EngineConfig,
-    /// What the weight store is like.
+    /// Configuration of the weight store.
     pub weights: WeightsConfig,
-    /// How far the node list lags.
+    /// Delay until the node list shows a change.
     pub list_lag: Duration,
-    /// The daemons' numbers.
+    /// Tunables of the daemons.
     pub tunables: Tunables,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Everything that runs.
+/// A running environment.
 pub struct World {
     config: WorldConfig,
     files: PathBuf,
@@ -71,7 +71,7 @@
     pub engines: Vec<(String, Engine)>,
     /// The plain servers with their halls.
     pub services: Vec<(String, PlainServer)>,
-    /// The daemons, by name; `None` once one was taken out.
+    /// The daemons by name; `None` once [`World::take_daemon`] took one.
     pub daemons: Vec<(String, Option<Running>)>,
     next_change: Cell<u128>,
 }
@@ -85,7 +85,7 @@
 }
 
 impl World {
-    /// Brings everything up. `files` is a folder for the daemons' key file.
+    /// Starts all stand-ins and daemons. `files` is a folder for the daemons' key file.
     pub async fn start(config: WorldConfig, files: PathBuf) -> std::io::Result<Self> {
         std::fs::create_dir_all(&files)?;
         std::fs::write(files.join("keys"), format!("{}\n", "5a".repeat(16)))?;
@@ -128,14 +128,14 @@
     pub async fn add_daemon(&mut self, hall: &str, name: &str) {
         let text = self.bootstrap_text(hall, name, None);
         let file = self.files.join(format!("{name}.toml"));
-        let bootstrap = Bootstrap::parse(&file, &text).expect("the world's settings are valid");
+        let bootstrap = Bootstrap::parse(&file, &text).expect("the bootstrap settings are valid");
         let clock: Rc<dyn Clock> = Rc::new(BootClock);
         let running = start(bootstrap, clock, self.config.tunables.clone()).await;
-        let running = running.expect("loopback has free ports");
+        let running = running.expect("the daemon starts on loopback");
         self.daemons.push((name.to_owned(), Some(running)));
     }
 
-    /// The settings file of a daemon; `callers` fixes its callers' address.
+    /// The bootstrap settings of a daemon; `callers` fixes the address that callers connect to.
     pub fn bootstrap_text(&self, hall: &str, name: &str, callers: Option<SocketAddr>) -> String {
         let callers = callers.unwrap_or_else(loopback);
         let keys = self.files.join("keys");
@@ -149,7 +149,7 @@
         )
     }
 
-    /// Publishes the node list; `leaving` names servers that are leaving.
+    /// Publishes the node list with the running daemons; `leaving` names servers that are leaving.
     pub fn publish(&self, leaving: &[&str]) {
         let running = self.daemons.iter().filter_map(|(name, d)| Some((name, d.as_ref()?)));
         let list: Vec<_> = running.map(|(name, d)| (name.as_str(), d.members())).collect();
@@ -157,7 +157,7 @@
         self.nodes.set(json!({ "servers": self.server_list(leaving), "daemons": daemons }));
     }
 
-    /// Publishes the node list with daemons that run as processes of their own.
+    /// Publishes the node list with daemons that run as separate processes.
     pub fn publish_daemons(&self, daemons: &[(&str, SocketAddr)]) {
         let daemons = daemon_list(daemons);
         self.nodes.set(json!({ "servers": self.server_list(&[]), "daemons": daemons }));
@@ -185,14 +185,14 @@
         servers
     }
 
-    /// Changes the settings as an operator would.
+    /// Changes the settings as an operator would. Returns the revision of the change.
     pub async fn change(&self, edit: Edit) -> u64 {
         let store = Store::new(Rc::new(Etcd::new(self.kv.url())), "portrack/");
         let id = ChangeId(self.next_change.get());
         self.next_change.set(id.0 + 1);
         let change = Change { id, why: "world".into(), expected: None, edit };
         let accepted = store.accept("world", 0, &change).await;
-        accepted.expect("the stand-in takes valid changes").revision
+        accepted.expect("the stand-in accepts valid changes").revision
     }
 
     /// Adds a plain service.
@@ -203,32 +203,32 @@
         self.change(Edit::Service { name, spec }).await;
     }
 
-    /// Sets a key at the root.
+    /// Sets a key at the root of the settings tree.
     pub async fn set(&self, key: &str, value: u64) {
         let (path, key) = (TreePath::fleet(), key.to_owned());
         self.change(Edit::Set { path, key, value: Some(value) }).await;
     }
 
-    /// Adds an adapter with one version that serves everything.
+    /// Adds an adapter with one version that serves all requests.
     pub async fn add_adapter(&self, name: &str, version: &str) -> u64 {
         let spec = Some(adapter(name, &[version]));
         let name = name.parse().expect("a valid name");
         self.change(Edit::Adapter { name, spec }).await
     }
 
-    /// A daemon that runs.
+    /// The running daemon of this name.
     pub fn daemon(&self, name: &str) -> &Running {
         let found = self.daemons.iter().find(|(n, _)| n == name);
         found.and_then(|(_, daemon)| daemon.as_ref()).expect("the daemon runs")
     }
 
-    /// Takes a daemon out of the world, to stop or halt it.
+    /// Takes a daemon out of the world, so that it can be stopped or halted.
     pub fn take_daemon(&mut self, name: &str) -> Running {
         let found = self.daemons.iter_mut().find(|(n, _)| n == name);
         found.and_then(|(_, daemon)| daemon.take()).expect("the daemon runs")
     }
 
-    /// Waits until every daemon has these settings and every engine an owner that serves it.
+    /// Waits up to 30 s until every daemon has these settings and every engine has a serving owner.
     pub async fn settled(&self, revision: u64) -> bool {
         for _ in 0..600 {
             if self.is_settled(revision) {
@@ -242,18 +242,19 @@
     fn is_settled(&self, revision: u64) -> bool {
         let running: Vec<&Running> = self.daemons.iter().filter_map(|(_, d)| d.as_ref()).collect();
         let statuses: Vec<_> = running.iter().map(|daemon| daemon.status()).collect();
-        let informed = statuses.iter().all(|s| s.revision >= revision && s.ready);
-        let met = statuses.iter().all(|s| {
+        let up_to_date = statuses.iter().all(|s| s.revision >= revision && s.ready);
+        let peers_alive = statuses.iter().all(|s| {
             let alive = s.members.iter().filter(|m| m.health == "alive").count();
             alive + 1 >= statuses.len()
         });
         let owned: usize =
             statuses.iter().map(|s| s.owned.iter().filter(|o| o.serving).count()).sum();
-        informed && met && owned == self.engines.len()
+        up_to_date && peers_alive && owned == self.engines.len()
     }
 }
 
-/// An adapter whose first version serves everything, and the others what names them.
+/// An adapter whose first version serves all requests that name no version; the others serve
+/// only requests that name them.
 pub fn adapter(name: &str, versions: &[&str]) -> AdapterSpec {
     let weights = |version: &str| VersionSpec { weights: format!("store://{name}/{version}") };
     let parse = |version: &str| version.parse().expect("a valid version");
@@ -271,7 +272,7 @@
     }
 }
 
-/// Daemons as the node list shows them; the first letter of a name is the hall.
+/// The daemons' entries of the node list; the first letter of a name is its hall.
 fn daemon_list(daemons: &[(&str, SocketAddr)]) -> Vec<Value> {
     let list = daemons.iter().map(|(name, address)| {
         json!({ "node": name, "hall": &name[..1], "region": "r1", "address": address.to_string() })
--- a/crates/portrack-standins/tests/once.rs
+++ b/crates/portrack-standins/tests/once.rs
@@ -52,7 +52,7 @@
 #[actix_rt::test]
 async fn a_key_whose_answer_was_lost_is_not_run_again() {
     let world = trusted("lostkey").await;
-    world.services[0].1.lose_answers(1);
+    world.services[0].1.drop_responses(1);
     let (status, problem) = unlock(&world, "a1", "lost").await;
     assert_eq!((status, &problem["run"]), (502, &Value::from("unknown")));
     let (status, problem) = unlock(&world, "a2", "lost").await;
--- a/crates/portrack-standins/tests/outages.rs
+++ b/crates/portrack-standins/tests/outages.rs
@@ -40,7 +40,7 @@
     let revision = world.add_adapter("bea", "v1").await;
     assert!(world.settled(revision).await);
     world.kv.set_fault(Fault::Down);
-    world.nodes.set_away(true);
+    world.nodes.set_unavailable(true);
     for (model, prompt) in [("ana", "warm"), ("bea", "cold")] {
         let (status, answer) = complete(world.daemon("a2").callers(), model, prompt, 3).await;
         assert_eq!(status, 200, "{answer}");
--- a/crates/portrack-standins/tests/path.rs
+++ b/crates/portrack-standins/tests/path.rs
@@ -50,7 +50,7 @@
     let revision = world.add_adapter("cyd", "v1").await;
     assert!(world.settled(revision).await);
     for (_, service) in &world.services {
-        service.lose_answers(1);
+        service.drop_responses(1);
     }
 
     let url = format!("http://{}/docks/unlock", world.daemon("a1").callers());
--- a/crates/portrack-standins/tests/settings.rs
+++ b/crates/portrack-standins/tests/settings.rs
@@ -33,7 +33,7 @@
 async fn a_lost_answer_is_looked_up_and_the_change_counts_once() {
     let kv = key_value().await;
     let store = store(&kv);
-    kv.set_fault(Fault::LoseWriteAnswers);
+    kv.set_fault(Fault::DropWriteResponses);
     let accepted = store.accept("ann", 7, &set(1, 70, None)).await.unwrap();
     kv.set_fault(Fault::None);
     let again = store.accept("ann", 8, &set(1, 70, None)).await.unwrap();
@@ -137,7 +137,7 @@
     let operators: Vec<_> =
         (0..3).map(|process| actix_rt::spawn(operator(process, kv.clone(), log.clone()))).collect();
     for round in 0..20 {
-        let fault = if round % 2 == 0 { Fault::LoseWriteAnswers } else { Fault::None };
+        let fault = if round % 2 == 0 { Fault::DropWriteResponses } else { Fault::None };
         kv.set_fault(fault);
         actix_rt::time::sleep(Duration::from_millis(3)).await;
     }
