--- a/crates/portrack-standins/tests/common/mod.rs
+++ b/crates/portrack-standins/tests/common/mod.rs
@@ -1,6 +1,6 @@
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
-//! What the tests through real daemons share.
+//! Helpers for tests that run real daemons.
 
 use awc::http::StatusCode;
 use portrack_standins::world::{World, WorldConfig};
@@ -8,20 +8,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A folder of its own for each test.
+/// Path of a temporary folder, separate for each test.
 pub fn folder(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("portrack-{}-{name}", std::process::id()))
 }
 
-/// A world whose daemons have met and own their engines.
+/// A world with the adapter `ana`, whose daemons know each other and own all engines.
 pub async fn world(name: &str, config: WorldConfig) -> World {
     let world = World::start(config, folder(name)).await.unwrap();
     let revision = world.add_adapter("ana", "v1").await;
-    assert!(world.settled(revision).await, "the daemons did not settle");
+    assert!(world.settled(revision).await, "the daemons did not settle in time");
     world
 }
 
-/// One hall with so many daemons and engines.
+/// Configuration of a single hall with this many daemons and engines.
 pub fn one_hall(daemons: usize, engines: usize) -> WorldConfig {
     WorldConfig {
         daemons: vec![daemons],
@@ -35,7 +35,7 @@
     awc::Client::builder().timeout(Duration::from_secs(30)).finish()
 }
 
-/// Asks for a whole answer: its status, its text, and the problem's `run`.
+/// Requests a completion without streaming. Returns the status and the JSON body.
 pub async fn complete(
     daemon: SocketAddr,
     model: &str,
@@ -50,23 +50,23 @@
     (status, serde_json::from_slice(&body).unwrap())
 }
 
-/// The text of a whole answer.
+/// The text of a completion.
 pub fn text(answer: &Value) -> &str {
     answer["choices"][0]["text"].as_str().unwrap_or_default()
 }
 
-/// What the stand-in engine answers to a prompt.
+/// The stand-in engine's answer to a prompt.
 pub fn expected(model: &str, prompt: &str, tokens: usize) -> String {
     portrack_standins::expect::answer(model, &json!(prompt).to_string(), tokens)
 }
 
-/// Waits until something holds.
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+/// Waits up to 30 s until a condition holds. Panics with `what` if it does not.
+pub async fn until(what: &str, condition: impl Fn() -> bool) {
     for _ in 0..1_200 {
-        if holds() {
+        if condition() {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("it never came to this: {what}");
+    panic!("timed out waiting until {what}");
 }
--- a/crates/portrack-standins/tests/once.rs
+++ b/crates/portrack-standins/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice, through real daemons.
+//! Tests of idempotency keys with real daemons: a request must not run twice.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use portrack_standins::world::World;
 use serde_json::Value;
 
-/// Sends an unlock and says how it ended: its status and the problem's `run`.
+/// Sends an unlock request with a key. Returns the status and the JSON body.
 async fn unlock(world: &World, daemon: &str, key: &str) -> (u16, Value) {
     let url = format!("http://{}/docks/unlock", world.daemon(daemon).callers());
     let request = client().post(url).insert_header((headers::IDEMPOTENCY_KEY, key));
@@ -17,8 +17,9 @@
     (status, serde_json::from_slice(&body).unwrap_or_default())
 }
 
-/// Unlocks with fresh keys until memories are old enough to be trusted.
-async fn trusted(name: &str) -> World {
+/// A world whose daemons accept keyed requests: sends new keys until the key memories are old
+/// enough.
+async fn world_accepting_keys(name: &str) -> World {
     let world = world(name, one_hall(2, 1)).await;
     world.set("key_window_s", 1).await;
     for round in 0..60 {
@@ -28,7 +29,7 @@
         }
         actix_rt::time::sleep(std::time::Duration::from_millis(500)).await;
     }
-    panic!("keyed requests were never taken");
+    panic!("keyed requests were never accepted");
 }
 
 fn runs(world: &World, key: &str) -> usize {
@@ -36,8 +37,8 @@
 }
 
 #[actix_rt::test]
-async fn the_same_key_at_two_daemons_runs_once() {
-    let world = trusted("twice").await;
+async fn a_key_sent_to_two_daemons_runs_once() {
+    let world = world_accepting_keys("twice").await;
     for round in 0..10 {
         let key = format!("key-{round}");
         let (one, other) =
@@ -50,8 +51,8 @@
 }
 
 #[actix_rt::test]
-async fn a_key_whose_answer_was_lost_is_not_run_again() {
-    let world = trusted("lostkey").await;
+async fn a_key_is_not_run_again_after_a_lost_response() {
+    let world = world_accepting_keys("lostkey").await;
     world.services[0].1.drop_responses(1);
     let (status, problem) = unlock(&world, "a1", "lost").await;
     assert_eq!((status, &problem["run"]), (502, &Value::from("unknown")));
@@ -61,8 +62,8 @@
 }
 
 #[actix_rt::test]
-async fn a_key_whose_request_was_not_sent_can_be_used_again() {
-    let world = trusted("unsent").await;
+async fn a_key_can_be_reused_if_its_request_was_not_sent() {
+    let world = world_accepting_keys("unsent").await;
     world.services[0].1.stop();
     let (status, problem) = unlock(&world, "a1", "unsent").await;
     assert_eq!((status, &problem["run"]), (503, &Value::from("no")), "{problem}");
@@ -71,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn daemons_that_have_just_come_up_refuse_keys_as_not_run() {
+async fn newly_started_daemons_refuse_keys_as_not_run() {
     let world = world("fresh", one_hall(2, 1)).await;
     let (status, problem) = unlock(&world, "a1", "early").await;
     assert_eq!((status, &problem["run"]), (503, &Value::from("no")));
--- a/crates/portrack-standins/tests/outages.rs
+++ b/crates/portrack-standins/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Real daemons on loopback while the platform or engines fail.
+//! Tests of real daemons on loopback while the platform or engines fail.
 
 mod common;
 
@@ -8,21 +8,21 @@
 use std::rc::Rc;
 
 #[actix_rt::test]
-async fn a_daemon_that_starts_during_an_outage_takes_the_settings_from_its_peers() {
+async fn a_daemon_started_during_an_outage_gets_settings_from_its_peers() {
     let mut world = world("peers", one_hall(2, 1)).await;
     world.kv.set_fault(Fault::Down);
     world.take_daemon("a2").halt();
     world.add_daemon("a", "a3").await;
     world.publish(&[]);
-    let informed = || !world.daemon("a3").status().digest.starts_with("0000000000000000");
-    until("the new daemon has settings", informed).await;
+    let has_settings = || !world.daemon("a3").status().digest.starts_with("0000000000000000");
+    until("the new daemon has settings", has_settings).await;
     let (status, answer) = complete(world.daemon("a3").callers(), "ana", "hello", 4).await;
     assert_eq!(status, 200, "{answer}");
     assert_eq!(text(&answer), expected("ana@v1", "hello", 4));
 }
 
 #[actix_rt::test]
-async fn a_daemon_without_any_source_of_settings_refuses_as_not_run() {
+async fn a_daemon_without_settings_refuses_requests_as_not_run() {
     let config = WorldConfig { daemons: vec![0], ..one_hall(0, 1) };
     let mut world = World::start(config, common::folder("nosource")).await.unwrap();
     world.kv.set_fault(Fault::Down);
@@ -34,7 +34,7 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_of_the_platform_stops_neither_warm_nor_cold_requests() {
+async fn warm_and_cold_requests_succeed_during_a_platform_outage() {
     let world = world("outage", one_hall(2, 1)).await;
     complete(world.daemon("a1").callers(), "ana", "warm up", 2).await;
     let revision = world.add_adapter("bea", "v1").await;
@@ -67,7 +67,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_without_fences_changes_hands_when_a_daemon_comes() {
+async fn engines_without_fences_move_to_a_new_daemon() {
     let mut config = one_hall(1, 6);
     config.engine.checks_fence = false;
     let mut world = world("handover", config).await;
@@ -84,7 +84,7 @@
 }
 
 #[actix_rt::test]
-async fn a_stream_whose_connection_breaks_is_resumed_at_its_engine() {
+async fn a_broken_stream_is_resumed_at_its_engine() {
     let world = world("resume", one_hall(1, 1)).await;
     world.engines[0].1.break_streams(2);
     let (status, answer) = complete(world.daemon("a1").callers(), "ana", "long", 30).await;
@@ -94,13 +94,13 @@
 }
 
 #[actix_rt::test]
-async fn a_refusal_after_a_lost_try_does_not_say_not_run() {
+async fn a_failure_after_a_lost_attempt_is_not_reported_as_not_run() {
     let world = Rc::new(world("lost", one_hall(1, 1)).await);
-    let asked = world.clone();
+    let client_world = world.clone();
     let request = actix_rt::spawn(async move {
-        complete(asked.daemon("a1").callers(), "ana", "lost", 5_000).await
+        complete(client_world.daemon("a1").callers(), "ana", "lost", 5_000).await
     });
-    until("the engine runs it", || world.engines[0].1.running() == 1).await;
+    until("the engine runs the request", || world.engines[0].1.running() == 1).await;
     world.engines[0].1.stop();
     let (status, problem) = request.await.unwrap();
     assert!(status.is_server_error(), "{problem}");
@@ -108,7 +108,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_restarts_empty_is_loaded_again() {
+async fn adapters_are_loaded_again_after_an_engine_restart() {
     let world = world("restart", one_hall(1, 1)).await;
     complete(world.daemon("a1").callers(), "ana", "one", 2).await;
     world.engines[0].1.restart();
@@ -118,28 +118,28 @@
 }
 
 #[actix_rt::test]
-async fn a_load_that_fails_is_tried_on_another_engine() {
+async fn a_failed_load_is_retried_on_another_engine() {
     let world = world("failing", one_hall(1, 2)).await;
     for (_, engine) in &world.engines {
         engine.fail_loads(1);
     }
-    let mut ends = Vec::new();
+    let mut statuses = Vec::new();
     for _ in 0..3 {
         let (status, _) = complete(world.daemon("a1").callers(), "ana", "try", 2).await;
-        ends.push(status.as_u16());
+        statuses.push(status.as_u16());
         actix_rt::time::sleep(std::time::Duration::from_secs(1)).await;
     }
-    assert_eq!(ends.last(), Some(&200), "{ends:?}");
+    assert_eq!(statuses.last(), Some(&200), "{statuses:?}");
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_finishes_what_is_under_way() {
+async fn a_graceful_stop_finishes_running_requests() {
     let mut world = world("stop", one_hall(2, 1)).await;
     complete(world.daemon("a1").callers(), "ana", "warm up", 2).await;
     let stopping = world.take_daemon("a1");
     let callers = stopping.callers();
     let request = actix_rt::spawn(complete(callers, "ana", "long", 400));
-    until("the engine runs it", || world.engines[0].1.running() == 1).await;
+    until("the engine runs the request", || world.engines[0].1.running() == 1).await;
     let left = stopping.stop().await;
     assert_eq!(left, 0);
     let (status, answer) = request.await.unwrap();
--- a/crates/portrack-standins/tests/path.rs
+++ b/crates/portrack-standins/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: a caller, a daemon, an engine that did not hold the adapter, and back.
+//! End-to-end tests: requests from a caller through a daemon to an engine or a plain service.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 #[actix_rt::test]
-async fn a_cold_adapter_is_loaded_and_its_answer_streamed() {
+async fn a_cold_adapter_is_loaded_and_the_answer_is_streamed() {
     let world = World::start(WorldConfig::default(), folder("path")).await.unwrap();
     let revision = world.add_adapter("ana", "v1").await;
     assert!(world.settled(revision).await);
@@ -30,7 +30,7 @@
 }
 
 #[actix_rt::test]
-async fn a_whole_answer_is_put_together() {
+async fn an_answer_without_streaming_is_assembled_from_its_chunks() {
     let world = World::start(WorldConfig::default(), folder("whole")).await.unwrap();
     let revision = world.add_adapter("bea", "v2").await;
     assert!(world.settled(revision).await);
@@ -45,7 +45,7 @@
 }
 
 #[actix_rt::test]
-async fn an_unlock_whose_answer_is_lost_is_not_sent_again() {
+async fn a_non_repeatable_request_is_not_resent_after_a_lost_response() {
     let world = World::start(WorldConfig::default(), folder("unlock")).await.unwrap();
     let revision = world.add_adapter("cyd", "v1").await;
     assert!(world.settled(revision).await);
--- a/crates/portrack-standins/tests/settings.rs
+++ b/crates/portrack-standins/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Accepting changes through the stand-in key-value service, with its faults.
+//! Tests of settings changes against the stand-in key-value service, with injected faults.
 
 use portrack::audit::ChangeId;
 use portrack::settings::{Change, ChangeError, Edit, Store, TreePath};
@@ -30,7 +30,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_looked_up_and_the_change_counts_once() {
+async fn a_change_with_a_lost_response_is_applied_once() {
     let kv = key_value().await;
     let store = store(&kv);
     kv.set_fault(Fault::DropWriteResponses);
@@ -42,7 +42,7 @@
 }
 
 #[actix_rt::test]
-async fn of_two_operators_the_later_gets_both_sides() {
+async fn a_conflicting_change_reports_the_expected_and_found_values() {
     let kv = key_value().await;
     let (one, other) = (store(&kv), store(&kv));
     one.accept("ann", 1, &set(1, 70, Some("null"))).await.unwrap();
@@ -52,7 +52,7 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_changes_nothing() {
+async fn a_change_during_an_outage_is_not_applied() {
     let kv = key_value().await;
     let store = store(&kv);
     kv.set_fault(Fault::Down);
@@ -63,13 +63,13 @@
 }
 
 #[actix_rt::test]
-async fn bad_values_are_refused_with_their_place() {
+async fn an_invalid_value_is_refused_with_its_path() {
     let kv = key_value().await;
     let why = store(&kv).accept("ann", 1, &set(1, 101, None)).await.unwrap_err().to_string();
     assert_eq!(why, "fleet: stall_weight must lie between 0 and 100 percent, not 101");
 }
 
-/// A register with compare-and-swap, as the settings promise one for each value.
+/// A compare-and-swap register, which is the guarantee that settings give for each value.
 struct CasRegister;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -149,13 +149,13 @@
     let swaps = actions
         .iter()
         .filter(|(_, action)| matches!(action, Action::Response(Op::Swap { done: true, .. })));
-    assert!(swaps.count() > 3, "too few changes were accepted for a check");
+    assert!(swaps.count() > 3, "too few accepted changes for a meaningful check");
     let history = History::from_actions(actions);
     assert!(WGLChecker::<CasRegister>::is_linearizable(history));
 }
 
 #[test]
-fn the_history_check_can_fail() {
+fn the_linearizability_check_rejects_an_invalid_history() {
     let op = Op::Swap { from: None, to: 1, done: true };
     let actions = vec![
         (0, Action::Call(op.clone())),
