--- a/crates/portrack-bench/src/policy/baseline.rs
+++ b/crates/portrack-bench/src/policy/baseline.rs
@@ -1,6 +1,6 @@
-//! Policies to beat: an engine is chosen on arrival; slots are kept by last use.
+//! Baseline policies: an engine is chosen on arrival and slots are evicted least recently used first.
 
-use super::run::{DEADLINE_MS, Decide, Site};
+use super::run::{DEADLINE_MS, PlacementPolicy, Site};
 use super::store::Fifo;
 use super::trace::{Arrival, Shape, adapter};
 use portrack::membership::highest;
@@ -9,16 +9,16 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How the engine is chosen.
+/// How an engine is chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
     /// The engine with the fewest requests.
     LeastConnections,
-    /// Of the engines that hold the adapter the one with the fewest requests, else of all.
+    /// The engine with the fewest requests among those with the adapter, otherwise among all.
     HolderFirst,
-    /// Any.
+    /// A random engine.
     Random,
-    /// The adapter's own.
+    /// The adapter's engine by rendezvous hash.
     Static,
 }
 
@@ -30,7 +30,7 @@
     cold: bool,
 }
 
-/// One of the baselines.
+/// A baseline policy.
 pub struct Baseline {
     rule: Rule,
     slots: usize,
@@ -44,7 +44,7 @@
 }
 
 impl Baseline {
-    /// A baseline that has seen nothing.
+    /// Creates a policy without queued requests.
     pub fn new(shape: &Shape, rule: Rule, seed: u64) -> Self {
         let count = shape.halls * shape.engines;
         Self {
@@ -64,7 +64,7 @@
         site.engines[engine].running.len() + self.queues[engine].len()
     }
 
-    fn fewest(&self, site: &Site, among: impl Iterator<Item = usize>) -> Option<usize> {
+    fn least_connections(&self, site: &Site, among: impl Iterator<Item = usize>) -> Option<usize> {
         among.min_by_key(|at| self.connections(site, *at))
     }
 
@@ -72,14 +72,14 @@
         let all = 0..site.engines.len();
         match self.rule {
             Rule::Random => self.rng.random_range(all),
-            Rule::LeastConnections => self.fewest(site, all).unwrap_or(0),
+            Rule::LeastConnections => self.least_connections(site, all).unwrap_or(0),
             Rule::HolderFirst => {
                 let holds = |at: &usize| {
                     let engine = &site.engines[*at];
                     engine.loaded.contains(&wanted) || engine.loading.contains(&wanted)
                 };
-                let holder = self.fewest(site, all.clone().filter(holds));
-                holder.or_else(|| self.fewest(site, all)).unwrap_or(0)
+                let holder = self.least_connections(site, all.clone().filter(holds));
+                holder.or_else(|| self.least_connections(site, all)).unwrap_or(0)
             }
             Rule::Static => {
                 let name = highest(&adapter(wanted).to_string(), &self.names);
@@ -88,7 +88,7 @@
         }
     }
 
-    fn want(&mut self, site: &Site, engine: usize, adapter: usize) {
+    fn request_load(&mut self, site: &Site, engine: usize, adapter: usize) {
         let there = &site.engines[engine];
         let known = there.loaded.contains(&adapter) || there.loading.contains(&adapter);
         if !known && !self.fifo.wanted.contains(&(engine, adapter)) {
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Begins as many wanted loads as the store and the slots allow, oldest first.
-    fn load(&mut self, now: Time, site: &mut Site) {
+    /// Starts requested loads, oldest first, as far as store and slots allow.
+    fn start_loads(&mut self, now: Time, site: &mut Site) {
         self.fifo.refill(now);
         let mut at = 0;
-        while at < self.fifo.wanted.len() && self.fifo.may_begin(site.store.running()) {
+        while at < self.fifo.wanted.len() && self.fifo.can_start(site.store.running()) {
             let (engine, adapter) = self.fifo.wanted[at];
             let needed = self.queues[engine].iter().any(|w| w.adapter == adapter);
-            if needed && !self.make_room(site, engine) {
+            if needed && !self.ensure_free_slot(site, engine) {
                 at += 1;
                 continue;
             }
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Frees the slot whose last use is longest ago, if all are taken.
-    fn make_room(&mut self, site: &mut Site, engine: usize) -> bool {
+    /// Evicts the least recently used idle adapter if all slots are taken. False if none is idle.
+    fn ensure_free_slot(&mut self, site: &mut Site, engine: usize) -> bool {
         let there = &mut site.engines[engine];
         if there.loaded.len() + there.loading.len() < self.slots {
             return true;
@@ -130,22 +130,22 @@
         true
     }
 
-    fn start(&mut self, now: Time, site: &mut Site, engine: usize) {
+    fn start_requests(&mut self, now: Time, site: &mut Site, engine: usize) {
         let mut at = 0;
         while at < self.queues[engine].len() {
             let there = &mut site.engines[engine];
             let waiting = &self.queues[engine][at];
-            let late = now.since(waiting.since).as_millis() as u64 >= DEADLINE_MS;
-            let starts =
+            let timed_out = now.since(waiting.since).as_millis() as u64 >= DEADLINE_MS;
+            let can_start =
                 there.running.len() < self.batch && there.loaded.contains(&waiting.adapter);
-            if !late && !starts {
+            if !timed_out && !can_start {
                 at += 1;
                 continue;
             }
             let Some(waiting) = self.queues[engine].remove(at) else { break };
             let waited = now.since(waiting.since).as_millis() as u64;
-            site.outcome.waited(waited, waiting.cold);
-            if late {
+            site.outcome.record_wait(waited, waiting.cold);
+            if timed_out {
                 site.outcome.refused += 1;
                 continue;
             }
@@ -155,7 +155,7 @@
     }
 }
 
-impl Decide for Baseline {
+impl PlacementPolicy for Baseline {
     fn arrive(&mut self, now: Time, arrival: &Arrival, site: &mut Site) {
         let engine = self.choose(site, arrival.adapter);
         self.next_id += 1;
@@ -167,26 +167,26 @@
             since: now,
             cold,
         });
-        self.want(site, engine, arrival.adapter);
-        self.start(now, site, engine);
+        self.request_load(site, engine, arrival.adapter);
+        self.start_requests(now, site, engine);
     }
 
     fn tick(&mut self, now: Time, site: &mut Site, _: &[(usize, ReservationId)]) {
         for engine in 0..site.engines.len() {
-            self.start(now, site, engine);
+            self.start_requests(now, site, engine);
         }
-        self.load(now, site);
+        self.start_loads(now, site);
     }
 
     fn loaded(&mut self, now: Time, engine: usize, adapter: usize, site: &mut Site) {
         self.used[engine].insert(adapter, now);
-        self.start(now, site, engine);
+        self.start_requests(now, site, engine);
     }
 
     fn restarted(&mut self, _: Time, engine: usize, site: &mut Site) {
         let waiting: Vec<usize> = self.queues[engine].iter().map(|w| w.adapter).collect();
         for adapter in waiting {
-            self.want(site, engine, adapter);
+            self.request_load(site, engine, adapter);
         }
     }
 }
--- a/crates/portrack-bench/src/policy/engine.rs
+++ b/crates/portrack-bench/src/policy/engine.rs
@@ -1,35 +1,35 @@
-//! An engine's slots and batch.
+//! Simulation of an engine's slots and batch.
 
 use portrack::types::{ReservationId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of a step with an empty batch, at reference speed.
+/// Base duration of a step at reference speed, in milliseconds.
 const STEP_MS: f64 = 18.0;
-/// Milliseconds that each request adds.
+/// Milliseconds that each request in the batch adds to a step.
 const STEP_EACH_MS: f64 = 0.6;
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Relative speed, 100 is the reference.
+    /// Speed in percent of the reference.
     pub speed: u32,
-    /// Adapters in slots.
+    /// Loaded adapters.
     pub loaded: BTreeSet<usize>,
     /// Adapters being loaded.
     pub loading: BTreeSet<usize>,
     /// Running requests: their adapter and the tokens left.
     pub running: BTreeMap<ReservationId, (usize, u32)>,
-    /// Grows with each restart.
+    /// Increases with each restart.
     pub epoch: u64,
     next_step: f64,
-    /// Steps made with at least one request.
+    /// Steps with at least one request.
     pub steps: u64,
-    /// Requests in those steps, added up.
-    pub stepped: u64,
+    /// Sum of the batch sizes of those steps.
+    pub batch_size_sum: u64,
 }
 
 impl Engine {
-    /// An empty engine.
+    /// Creates an engine without adapters and requests.
     pub fn new(speed: u32) -> Self {
         Self {
             speed,
@@ -39,7 +39,7 @@
             epoch: 1,
             next_step: 0.0,
             steps: 0,
-            stepped: 0,
+            batch_size_sum: 0,
         }
     }
 
@@ -48,7 +48,7 @@
         self.running.insert(id, (adapter, tokens));
     }
 
-    /// Makes the steps that are due; returns what has ended.
+    /// Runs the steps that are due and returns the requests that ended.
     pub fn advance(&mut self, now: Time) -> Vec<ReservationId> {
         let now = now.0 as f64;
         let mut ended = Vec::new();
@@ -59,7 +59,7 @@
                 break;
             }
             self.steps += 1;
-            self.stepped += self.running.len() as u64;
+            self.batch_size_sum += self.running.len() as u64;
             let step = STEP_MS + STEP_EACH_MS * self.running.len() as f64;
             self.next_step += step * 100.0 / f64::from(self.speed);
             for (_, left) in self.running.values_mut() {
@@ -77,7 +77,7 @@
         self.running.values().any(|(a, _)| *a == adapter)
     }
 
-    /// Restarts empty. Returns the requests that were cut off.
+    /// Restarts the engine empty. Returns the requests that were aborted.
     pub fn restart(&mut self) -> Vec<ReservationId> {
         self.epoch += 1;
         self.loaded.clear();
--- a/crates/portrack-bench/src/policy/mod.rs
+++ b/crates/portrack-bench/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Placement and routing policies on the same seeded trace.
+//! Compares placement and routing policies on the same seeded traces.
 //!
-//! No nodes, no network, no message faults: a trace, the decisions, the engines' slots and
-//! batches, and the weight store's rate.
+//! Simulates the policies' decisions, the engines' slots and batches, and the weight store's rate, but
+//! neither nodes nor the network nor message faults.
 
 mod baseline;
 mod engine;
@@ -18,16 +18,16 @@
 use trace::Shape;
 pub use trial::{Setting, Trial};
 
-/// Runs every policy on both shapes of load and prints tables; writes a picture if asked to.
+/// Runs the policies on both load shapes and returns tables; also writes a chart if `picture` is set.
 pub fn report(trial: &Trial, ours_only: bool, picture: Option<&std::path::Path>) -> String {
     let policies = if ours_only { &Policy::ALL[..1] } else { &Policy::ALL[..] };
     let mut text = String::new();
     let mut all = Vec::new();
     for shape in [Shape::pedala(), Shape::gopherline()] {
-        text.push_str(&format!("\n{}\n\n{}", shape.name, Outcome::head()));
+        text.push_str(&format!("\n{}\n\n{}", shape.name, Outcome::table_header()));
         for policy in policies {
             let outcome = run::run(&shape, *policy, trial);
-            text.push_str(&outcome.row());
+            text.push_str(&outcome.table_row());
             all.push((shape.name, outcome));
         }
     }
--- a/crates/portrack-bench/src/policy/ours.rs
+++ b/crates/portrack-bench/src/policy/ours.rs
@@ -1,6 +1,6 @@
-//! portrack's own decisions: router, owners and load planner, joined without messages.
+//! portrack's policy: router, owners and load planner, connected without messages.
 
-use super::run::{DEADLINE_MS, Decide, Site};
+use super::run::{DEADLINE_MS, PlacementPolicy, Site};
 use super::trace::{Arrival, Shape, adapter};
 use super::trial::Trial;
 use portrack::loads::{Budget, LoadPlanner};
@@ -19,12 +19,12 @@
 use rand::rngs::SmallRng;
 use std::collections::BTreeMap;
 
-/// Between ticks of an owner, in milliseconds.
+/// Interval between ticks of an owner, in milliseconds.
 const OWNER_TICK_MS: u64 = 50;
-/// Between heartbeats, in milliseconds: how old the router's view may be.
-const BEAT_MS: u64 = 1_000;
-/// Engines tried for one request.
-const TRIES: usize = 3;
+/// Interval between heartbeats, in milliseconds. The router's view is at most this old.
+const HEARTBEAT_MS: u64 = 1_000;
+/// Most engines tried for one request.
+const MAX_ATTEMPTS: usize = 3;
 
 struct Pending {
     wanted: Wanted,
@@ -35,7 +35,7 @@
 }
 
 /// portrack's policy.
-pub struct Ours {
+pub struct PortrackPolicy {
     shape: Shape,
     view: View,
     owners: Vec<EngineOwner>,
@@ -52,12 +52,12 @@
     format!("e{at}").parse().expect("a valid name")
 }
 
-fn number(engine: &EngineName) -> usize {
-    engine.as_str()[1..].parse().expect("engines are numbered")
+fn engine_number(engine: &EngineName) -> usize {
+    engine.as_str()[1..].parse().expect("engine names end in a number")
 }
 
 fn adapter_number(adapter: &AdapterVersion) -> usize {
-    adapter.adapter.as_str()[2..].parse().expect("adapters are numbered")
+    adapter.adapter.as_str()[2..].parse().expect("adapter names end in a number")
 }
 
 fn hall(at: usize) -> HallName {
@@ -68,8 +68,8 @@
     "base".parse().expect("a valid name")
 }
 
-impl Ours {
-    /// Owns every engine of the site.
+impl PortrackPolicy {
+    /// Creates the policy and acquires every engine of the site.
     pub fn new(shape: &Shape, trial: &Trial, seed: u64, site: &Site) -> Self {
         let set = trial.overrides(shape.stall_weight);
         let tunables = Effective::of([&set]).tunables(&Default::default());
@@ -100,7 +100,7 @@
             ..Budget::default()
         };
         let node: NodeName = "n".parse().expect("a valid name");
-        let mut ours = Self {
+        let mut policy = Self {
             owners: (0..site.engines.len()).map(owner).collect(),
             shape: shape.clone(),
             view,
@@ -112,8 +112,8 @@
             pending: BTreeMap::new(),
             next_id: 0,
         };
-        ours.acquire(site);
-        ours
+        policy.acquire(site);
+        policy
     }
 
     fn acquire(&mut self, site: &Site) {
@@ -144,67 +144,69 @@
         }
     }
 
-    fn owner(&mut self, now: Time, at: usize, event: Event, site: &mut Site) {
+    fn handle_event(&mut self, now: Time, at: usize, event: Event, site: &mut Site) {
         let outputs = self.owners[at].on(now, event);
         for output in outputs {
-            self.output(now, at, output, site);
+            self.handle_output(now, at, output, site);
         }
         self.push_holdings(now, at);
     }
 
-    /// Changed holdings are pushed at once, as between daemons.
+    /// Publishes changed holdings at once, as daemons do.
     fn push_holdings(&mut self, now: Time, at: usize) {
         let holdings = self.owners[at].holdings();
         let known = self.view.engine(&engine_name(at)).and_then(|e| e.holdings.as_ref());
         if known.map(|h| h.version) != Some(holdings.version) {
             self.view.holdings(holdings);
-            self.beat(now, at);
+            self.publish_load(now, at);
         }
     }
 
-    fn beat(&mut self, now: Time, at: usize) {
+    fn publish_load(&mut self, now: Time, at: usize) {
         let load = self.owners[at].load(now);
         self.view.load(now, &self.me.node, load);
     }
 
-    fn output(&mut self, now: Time, at: usize, output: Output, site: &mut Site) {
+    fn handle_output(&mut self, now: Time, at: usize, output: Output, site: &mut Site) {
         match output {
-            Output::Answer { answer, .. } => self.answer(now, at, answer, site),
+            Output::Answer { answer, .. } => self.handle_answer(now, at, answer, site),
             Output::Poll => {
                 let fence = self.owners[at].fence().0;
                 let report = self.report(now, at, site, fence);
-                self.owner(now, at, Event::Report(report), site);
+                self.handle_event(now, at, Event::Report(report), site);
             }
-            Output::RaiseFence(fence) => self.owner(now, at, Event::FenceRaised(fence), site),
-            Output::Order(order) => self.order(now, at, order, site),
+            Output::RaiseFence(fence) => {
+                self.handle_event(now, at, Event::FenceRaised(fence), site)
+            }
+            Output::Order(order) => self.execute_order(now, at, order, site),
             Output::AskPermit { adapter, waited_ms, weight } => {
                 let load = PermitRef { engine: engine_name(at), adapter };
                 let node = self.me.node.clone();
                 let granted = self.planner.ask(now, node, PermitAsk { load, waited_ms, weight });
-                self.permits(now, granted, site);
+                self.deliver_permits(now, granted, site);
             }
             Output::PermitDone(adapter) => {
                 let load = PermitRef { engine: engine_name(at), adapter };
                 let granted = self.planner.done(now, &load);
-                self.permits(now, granted, site);
+                self.deliver_permits(now, granted, site);
             }
         }
     }
 
-    fn permits(&mut self, now: Time, granted: Vec<(NodeName, PermitRef)>, site: &mut Site) {
+    fn deliver_permits(&mut self, now: Time, granted: Vec<(NodeName, PermitRef)>, site: &mut Site) {
         for (_, load) in granted {
-            let at = number(&load.engine);
+            let at = engine_number(&load.engine);
             match self.owners[at].wants(&load.adapter) {
-                true => self.owner(now, at, Event::Permit(load.adapter), site),
+                true => self.handle_event(now, at, Event::Permit(load.adapter), site),
                 false => {
                     let more = self.planner.done(now, &load);
-                    self.permits(now, more, site);
+                    self.deliver_permits(now, more, site);
                 }
             }
         }
     }
 
-    fn order(&mut self, now: Time, at: usize, order: Order, site: &mut Site) {
+    fn execute_order(&mut self, now: Time, at: usize, order: Order, site: &mut Site) {
         let used = adapter_number(&order.adapter);
         let engine = &mut site.engines[at];
         if order.kind == OrderKind::Load {
@@ -212,34 +214,34 @@
             site.store.begin(now, at, used, engine.epoch);
             return;
         }
-        assert!(!engine.uses(used), "an adapter in use was unloaded");
+        assert!(!engine.uses(used), "unloaded an adapter that is in use");
         engine.loaded.remove(&used);
         let event = Event::OrderDone { id: order.id, result: OrderResult::Done };
-        self.owner(now, at, event, site);
+        self.handle_event(now, at, event, site);
     }
 
-    fn answer(&mut self, now: Time, at: usize, answer: Answer, site: &mut Site) {
+    fn handle_answer(&mut self, now: Time, at: usize, answer: Answer, site: &mut Site) {
         match answer.verdict {
             Verdict::Queued => {}
             Verdict::Granted(_) => {
                 let Some(pending) = self.pending.remove(&answer.id) else { return };
                 let waited = now.since(pending.since).as_millis() as u64;
-                site.outcome.waited(waited, pending.cold);
+                site.outcome.record_wait(waited, pending.cold);
                 let used = adapter_number(&pending.wanted.adapter);
                 site.engines[at].start(answer.id, used, pending.tokens);
             }
             Verdict::Refused { .. } => {
                 let Some(mut pending) = self.pending.remove(&answer.id) else { return };
                 pending.wanted.tried.push(engine_name(at));
-                self.seek(now, pending, site);
+                self.reserve(now, pending, site);
             }
         }
     }
 
-    fn seek(&mut self, now: Time, mut pending: Pending, site: &mut Site) {
+    fn reserve(&mut self, now: Time, mut pending: Pending, site: &mut Site) {
         let waited = now.since(pending.since).as_millis() as u64;
         let hall = hall(pending.hall);
-        let tries_left = pending.wanted.tried.len() < TRIES && waited < DEADLINE_MS;
+        let tries_left = pending.wanted.tried.len() < MAX_ATTEMPTS && waited < DEADLINE_MS;
         let choice = tries_left
             .then(|| {
                 let (weights, prefixes) = (&self.weights, &self.prefixes);
@@ -248,11 +250,11 @@
             })
             .flatten();
         let Some(choice) = choice else {
-            site.outcome.waited(waited, pending.cold);
+            site.outcome.record_wait(waited, pending.cold);
             site.outcome.refused += 1;
             return;
         };
-        let at = number(&choice.engine);
+        let at = engine_number(&choice.engine);
         if pending.wanted.tried.is_empty() {
             let used = adapter_number(&pending.wanted.adapter);
             pending.cold = !site.engines[at].loaded.contains(&used);
@@ -269,21 +271,21 @@
         self.view.note_grant(&choice.engine);
         self.pending.insert(id, pending);
         let from = self.me.clone();
-        self.owner(now, at, Event::Reserve { from, ask }, site);
+        self.handle_event(now, at, Event::Reserve { from, ask }, site);
     }
 
-    /// What waits is renewed, as entry nodes do.
-    fn renew(&mut self, now: Time, site: &mut Site) {
+    /// Renews waiting reservations, as entry nodes do.
+    fn renew_waiting(&mut self, now: Time, site: &mut Site) {
         for at in 0..self.owners.len() {
             let waiting = self.owners[at].renewals();
             for (from, ask) in waiting {
-                self.owner(now, at, Event::Reserve { from, ask }, site);
+                self.handle_event(now, at, Event::Reserve { from, ask }, site);
             }
         }
     }
 }
 
-impl Decide for Ours {
+impl PlacementPolicy for PortrackPolicy {
     fn arrive(&mut self, now: Time, arrival: &Arrival, site: &mut Site) {
         let wanted = Wanted {
             adapter: adapter(arrival.adapter),
@@ -295,24 +297,24 @@
         };
         let (hall, tokens) = (arrival.hall, arrival.tokens);
         let pending = Pending { wanted, hall, tokens, since: now, cold: false };
-        self.seek(now, pending, site);
+        self.reserve(now, pending, site);
     }
 
     fn tick(&mut self, now: Time, site: &mut Site, ended: &[(usize, ReservationId)]) {
         for (at, id) in ended {
-            self.owner(now, *at, Event::Release { id: *id, end: End::Ended }, site);
+            self.handle_event(now, *at, Event::Release { id: *id, end: End::Ended }, site);
         }
         if now.0.is_multiple_of(OWNER_TICK_MS) {
             for at in 0..self.owners.len() {
-                self.owner(now, at, Event::Tick, site);
+                self.handle_event(now, at, Event::Tick, site);
             }
             let granted = self.planner.plan(now);
-            self.permits(now, granted, site);
+            self.deliver_permits(now, granted, site);
         }
-        if now.0.is_multiple_of(BEAT_MS) {
-            self.renew(now, site);
+        if now.0.is_multiple_of(HEARTBEAT_MS) {
+            self.renew_waiting(now, site);
             for at in 0..self.owners.len() {
-                self.beat(now, at);
+                self.publish_load(now, at);
             }
         }
     }
@@ -321,7 +323,7 @@
         let order = self.owners[engine].load_order(&adapter(loaded));
         if let Some(id) = order {
             let event = Event::OrderDone { id, result: OrderResult::Done };
-            self.owner(now, engine, event, site);
+            self.handle_event(now, engine, event, site);
         }
     }
 
--- a/crates/portrack-bench/src/policy/run.rs
+++ b/crates/portrack-bench/src/policy/run.rs
@@ -1,8 +1,8 @@
-//! Feeds a trace to a policy.
+//! Runs a policy on a trace.
 
 use super::baseline::{Baseline, Rule};
 use super::engine::Engine;
-use super::ours::Ours;
+use super::ours::PortrackPolicy;
 use super::result::Outcome;
 use super::store::Store;
 use super::trace::{Arrival, Shape};
@@ -10,21 +10,21 @@
 use portrack::types::Time;
 use std::time::Duration;
 
-/// Between ticks of the decisions, in milliseconds.
+/// Step of the simulated clock, in milliseconds.
 const TICK_MS: u64 = 10;
-/// A request that has not started after this is given up, in milliseconds.
+/// A request that has not started after this time is refused, in milliseconds.
 pub const DEADLINE_MS: u64 = 30_000;
-/// Seconds at the end in which nothing more comes.
-const RUN_OUT: u64 = 60;
+/// Seconds simulated after the last arrival, so that requests can finish.
+const DRAIN_SECONDS: u64 = 60;
 
-/// The policies compared.
+/// The policies that are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// portrack's decisions.
+    /// portrack's policy.
     Portrack,
     /// Least connections among all engines, LRU slots.
     LeastConnections,
-    /// Holders first by least connections, else least connections; LRU slots.
+    /// Least connections among engines with the adapter, otherwise among all; LRU slots.
     HolderFirst,
     /// A random engine, LRU slots.
     Random,
@@ -33,7 +33,7 @@
 }
 
 impl Policy {
-    /// All of them, ours first.
+    /// All policies, portrack's first.
     pub const ALL: [Self; 5] =
         [Self::Portrack, Self::LeastConnections, Self::HolderFirst, Self::Random, Self::Static];
 
@@ -49,30 +49,30 @@
     }
 }
 
-/// The engines and the store, which every policy works on.
+/// The simulated engines and weight store, and the results so far.
 pub struct Site {
-    /// The engines; engine `n` stands in hall `n / engines of a hall`.
+    /// The engines; engine `n` is in hall `n / Shape::engines`.
     pub engines: Vec<Engine>,
     /// The weight store.
     pub store: Store,
-    /// What is seen.
+    /// The results so far.
     pub outcome: Outcome,
 }
 
-/// A policy's side of a run.
-pub trait Decide {
-    /// A request comes.
+/// A policy's reactions to the events of a run.
+pub trait PlacementPolicy {
+    /// Handles the arrival of a request.
     fn arrive(&mut self, now: Time, arrival: &Arrival, site: &mut Site);
-    /// Time has passed; what has ended was taken out of the engines already.
+    /// Runs periodic work. The requests in `ended` are already removed from their engines.
     fn tick(
         &mut self,
         now: Time,
         site: &mut Site,
         ended: &[(usize, portrack::types::ReservationId)],
     );
-    /// A load has ended.
+    /// Handles a completed load.
     fn loaded(&mut self, now: Time, engine: usize, adapter: usize, site: &mut Site);
-    /// An engine has restarted empty.
+    /// Handles the restart of an engine, which is empty now.
     fn restarted(&mut self, now: Time, engine: usize, site: &mut Site);
 }
 
@@ -93,8 +93,8 @@
         store: Store::new(Duration::from_millis(shape.load_ms)),
         outcome,
     };
-    let mut decide: Box<dyn Decide> = match policy {
-        Policy::Portrack => Box::new(Ours::new(shape, trial, seed, &site)),
+    let mut decide: Box<dyn PlacementPolicy> = match policy {
+        Policy::Portrack => Box::new(PortrackPolicy::new(shape, trial, seed, &site)),
         Policy::LeastConnections => Box::new(Baseline::new(shape, Rule::LeastConnections, seed)),
         Policy::HolderFirst => Box::new(Baseline::new(shape, Rule::HolderFirst, seed)),
         Policy::Random => Box::new(Baseline::new(shape, Rule::Random, seed)),
@@ -103,7 +103,7 @@
     let trace = shape.trace(seed);
     let mut next = 0;
     let restart_at = shape.seconds * 750;
-    for now in (0..(shape.seconds + RUN_OUT) * 1_000).step_by(TICK_MS as usize) {
+    for now in (0..(shape.seconds + DRAIN_SECONDS) * 1_000).step_by(TICK_MS as usize) {
         let now = Time(now);
         if now.0 == restart_at {
             site.engines[0].restart();
@@ -123,11 +123,11 @@
     let mut outcome = site.outcome;
     outcome.loads += site.store.loads;
     outcome.steps += site.engines.iter().map(|engine| engine.steps).sum::<u64>();
-    outcome.stepped += site.engines.iter().map(|engine| engine.stepped).sum::<u64>();
+    outcome.batch_size_sum += site.engines.iter().map(|engine| engine.batch_size_sum).sum::<u64>();
     outcome
 }
 
-fn finish_loads(now: Time, site: &mut Site, decide: &mut dyn Decide) {
+fn finish_loads(now: Time, site: &mut Site, decide: &mut dyn PlacementPolicy) {
     for load in site.store.ended(now) {
         let engine = &mut site.engines[load.engine];
         if engine.epoch != load.epoch || !engine.loading.remove(&load.adapter) {
--- a/crates/portrack-bench/src/policy/store.rs
+++ b/crates/portrack-bench/src/policy/store.rs
@@ -1,82 +1,82 @@
-//! The weight store: what a load takes, and a plain first-come queue for the baselines.
+//! Simulation of the weight store, and a first-come, first-served load queue for the baselines.
 
 use portrack::types::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A load that runs.
+/// A running load.
 #[derive(Debug, Clone, Copy)]
 pub struct Loading {
     /// The engine.
     pub engine: usize,
     /// The adapter.
     pub adapter: usize,
-    /// The engine's epoch when it began.
+    /// The engine's epoch when the load started.
     pub epoch: u64,
     end: Time,
 }
 
-/// Loads that run, and how many there were.
+/// The weight store with its running loads.
 #[derive(Debug, Clone)]
 pub struct Store {
     load: Duration,
     running: Vec<Loading>,
-    /// All loads so far.
+    /// Number of loads so far.
     pub loads: u64,
 }
 
 impl Store {
-    /// A store whose loads take `load` each.
+    /// Creates a store whose loads take `load` each.
     pub fn new(load: Duration) -> Self {
         Self { load, running: Vec::new(), loads: 0 }
     }
 
-    /// Begins a load.
+    /// Starts a load.
     pub fn begin(&mut self, now: Time, engine: usize, adapter: usize, epoch: u64) {
         self.loads += 1;
         self.running.push(Loading { engine, adapter, epoch, end: now + self.load });
     }
 
-    /// Loads that end now.
+    /// Removes and returns the loads that have ended.
     pub fn ended(&mut self, now: Time) -> Vec<Loading> {
         let (done, left) = self.running.iter().copied().partition(|load| load.end <= now);
         self.running = left;
         done
     }
 
-    /// Loads that run.
+    /// Number of running loads.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 }
 
-/// Wanted loads, first come, first served, within the store's rate and concurrency.
+/// Queue of requested loads, first come, first served, within the store's rate and concurrency.
 #[derive(Debug, Clone)]
 pub struct Fifo {
     per_second: f64,
     at_once: usize,
     tokens: f64,
     filled_at: Time,
-    /// Engine and adapter of each wanted load.
+    /// Engine and adapter of each requested load.
     pub wanted: VecDeque<(usize, usize)>,
 }
 
 impl Fifo {
-    /// An empty queue with a full second's tokens.
+    /// Creates an empty queue with the tokens of one second.
     pub fn new(per_second: f64, at_once: usize) -> Self {
         let wanted = VecDeque::new();
         Self { per_second, at_once, tokens: per_second, filled_at: Time(0), wanted }
     }
 
-    /// Adds tokens for the time that has passed.
+    /// Adds the tokens for the time since the last refill, up to those of one second.
     pub fn refill(&mut self, now: Time) {
         let passed = now.since(self.filled_at).as_secs_f64();
         self.tokens = (self.tokens + passed * self.per_second).min(self.per_second);
         self.filled_at = now;
     }
 
-    /// True if one more load may begin.
-    pub fn may_begin(&self, running: usize) -> bool {
+    /// True if one more load may start.
+    pub fn can_start(&self, running: usize) -> bool {
         self.tokens >= 1.0 && running < self.at_once
     }
 
--- a/crates/portrack-bench/src/policy/trace.rs
+++ b/crates/portrack-bench/src/policy/trace.rs
@@ -1,4 +1,4 @@
-//! Seeded traces with the users' sizes.
+//! Generates seeded request traces of the users' sizes.
 
 use portrack::types::{AdapterVersion, Class, Time};
 use rand::rngs::SmallRng;
@@ -7,59 +7,59 @@
 /// One request of a trace.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it comes.
+    /// Arrival time.
     pub at: Time,
-    /// Where it enters.
+    /// Hall where it enters.
     pub hall: usize,
-    /// What it runs on.
+    /// Number of its adapter.
     pub adapter: usize,
     /// Tokens it generates.
     pub tokens: u32,
-    /// How urgent it is.
+    /// Urgency class.
     pub class: Class,
 }
 
-/// The kind of load.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// Whose load it is like.
+    /// Name in tables.
     pub name: &'static str,
     /// Data halls.
     pub halls: usize,
-    /// Engines of each hall.
+    /// Engines in each hall.
     pub engines: usize,
     /// Adapter slots of an engine.
     pub slots: usize,
-    /// Requests that one step carries.
+    /// Most requests in one batch.
     pub batch: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Exponent of their popularity.
+    /// Zipf exponent of the adapters' popularity.
     pub zipf: f64,
-    /// Requests a second outside bursts.
+    /// Requests per second outside bursts.
     pub rate: f64,
-    /// Requests a second within bursts.
+    /// Requests per second within bursts.
     pub burst_rate: f64,
-    /// Seconds from one burst to the next; bursts last a quarter of it. 0 for none.
+    /// Seconds between starts of bursts, 0 for no bursts. A burst lasts a quarter of this time.
     pub burst_every: f64,
-    /// Requests that one caller sends for the same adapter in a row.
+    /// Consecutive requests of one caller for the same adapter.
     pub run_length: usize,
     /// Share of background work, in percent.
     pub background: u32,
-    /// Loads a second of the weight store.
+    /// Loads per second of the weight store.
     pub loads_per_second: f64,
-    /// Loads at the same time at full speed.
+    /// Concurrent loads of the weight store at full speed.
     pub loads_at_once: usize,
-    /// Time of a load, in milliseconds.
+    /// Duration of a load, in milliseconds.
     pub load_ms: u64,
-    /// Weight of load stalls, 0 to 100, as in the settings.
+    /// Weight of load stalls against batch efficiency, 0 to 100, as in the settings.
     pub stall_weight: u64,
-    /// Length in seconds.
+    /// Length of the trace, in seconds.
     pub seconds: u64,
 }
 
 impl Shape {
-    /// Steady chat, load stalls weigh most.
+    /// Steady chat traffic; load stalls have most weight.
     pub fn pedala() -> Self {
         Self {
             name: "Pedala-shaped",
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Bursts of forms, batch efficiency weighs most.
+    /// Bursts of form processing; batch efficiency has most weight.
     pub fn gopherline() -> Self {
         Self {
             name: "Gopherline-shaped",
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The whole trace of a seed. In the middle the popularity of all adapters shifts.
+    /// Generates the trace of a seed. In the middle, the adapters' popularity shifts.
     pub fn trace(&self, seed: u64) -> Vec<Arrival> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let weights: Vec<f64> =
@@ -136,7 +136,7 @@
         names
     }
 
-    /// A third of the ranks get other adapters: cold ones become hot.
+    /// Assigns other adapters to a third of the popularity ranks, so that cold adapters become hot.
     fn shift(&self, names: &mut [usize], shifted: &[usize]) {
         for (at, wanted) in shifted.iter().enumerate().filter(|(at, _)| at % 3 == 0) {
             if let Some(other) = names.iter().position(|name| name == wanted) {
@@ -150,7 +150,7 @@
         if in_burst { self.burst_rate } else { self.rate }
     }
 
-    /// One caller's requests in a row, a second or so apart.
+    /// Adds one caller's consecutive requests, 0.5 to 1.5 s apart.
     fn session(
         &self,
         rng: &mut SmallRng,
@@ -174,7 +174,7 @@
     }
 }
 
-/// The adapter version of a number.
+/// Name of the adapter with this number.
 pub fn adapter(number: usize) -> AdapterVersion {
     format!("ad{number:05}@v1").parse().expect("a valid name")
 }
--- a/crates/portrack-bench/src/policy/trial.rs
+++ b/crates/portrack-bench/src/policy/trial.rs
@@ -1,9 +1,9 @@
-//! What a run is asked to try.
+//! Seeds and settings to run the policies with.
 
 use portrack::settings::{KEYS, Overrides};
 use std::str::FromStr;
 
-/// A setting to try, `KEY=VALUE`.
+/// A setting for portrack's policy, parsed from `KEY=VALUE`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Setting {
     key: String,
@@ -18,23 +18,23 @@
         let spec = spec.ok_or_else(|| format!("unknown key {key:?}"))?;
         let value = value.parse().map_err(|e| format!("{key}: {e}"))?;
         if !(spec.min..=spec.max).contains(&value) {
-            return Err(format!("{key} lies between {} and {}", spec.min, spec.max));
+            return Err(format!("{key} must lie between {} and {}", spec.min, spec.max));
         }
         Ok(Self { key: key.to_owned(), value })
     }
 }
 
-/// Seeds and settings of a run.
+/// Seeds and settings of a benchmark run.
 #[derive(Debug, Clone, Default)]
 pub struct Trial {
     /// Traces of each shape.
     pub seeds: u64,
-    /// Settings for portrack's policy, over those of the shape.
+    /// Settings for portrack's policy; they override those of the load shape.
     pub settings: Vec<Setting>,
 }
 
 impl Trial {
-    /// The settings that portrack's policy goes by.
+    /// The settings for portrack's policy.
     pub fn overrides(&self, stall_weight: u64) -> Overrides {
         let mut set = Overrides::default();
         set.put("stall_weight", Some(stall_weight));
