--- a/crates/portrack/src/daemon/callers.rs
+++ b/crates/portrack/src/daemon/callers.rs
@@ -23,7 +23,7 @@
         _ => match service_of(&core, &path) {
             Some((name, service)) => forward(core, name, service, request).await,
             None => {
-                let detail = format!("no service at {path}");
+                let detail = format!("nothing is served under {path}");
                 refuse(&core, &Refusal::not_run(Reason::NotFound, detail))
             }
         },
--- a/crates/portrack/src/daemon/completion.rs
+++ b/crates/portrack/src/daemon/completion.rs
@@ -331,5 +331,5 @@
 }
 
 fn lost() -> Refusal {
-    Refusal::unknown(Reason::BackendLost, "the engine was lost before the response was complete")
+    Refusal::unknown(Reason::BackendLost, "the engine was lost before the answer was whole")
 }
--- a/crates/portrack/src/daemon/key.rs
+++ b/crates/portrack/src/daemon/key.rs
@@ -62,6 +62,6 @@
 }
 
 fn key_state_unknown() -> Refusal {
-    let detail = "it cannot be determined yet whether this idempotency key was used";
+    let detail = "it cannot be told yet whether this idempotency key was used";
     Refusal::not_run(Reason::KeyMemory, detail).after(MEMORY_RETRY)
 }
--- a/crates/portrack/src/daemon/plain.rs
+++ b/crates/portrack/src/daemon/plain.rs
@@ -126,7 +126,7 @@
     /// Tries servers in turn. Once a byte has been written, only a repeatable request is tried again.
     async fn run(&self, key: Option<&ClaimedKey>) -> Result<Reply, Refusal> {
         let mut tried: Vec<EngineName> = Vec::new();
-        let mut last = Refusal::not_run(Reason::NoBackend, "no server of the service is available");
+        let mut last = Refusal::not_run(Reason::NoBackend, "no server of the service can be had");
         while tried.len() < MAX_SERVERS_TRIED {
             let Some(server) = self.choose(&tried) else { break };
             if let Some(key) = key {
--- a/crates/portrack/src/daemon/prompt.rs
+++ b/crates/portrack/src/daemon/prompt.rs
@@ -25,11 +25,11 @@
 impl Prompt {
     /// Parses a body, or returns what is wrong with it.
     pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, Refusal> {
-        let body: Map<String, Value> = serde_json::from_slice(body)
-            .map_err(|e| bad(format!("the body is not a JSON object: {e}")))?;
+        let body: Map<String, Value> =
+            serde_json::from_slice(body).map_err(|e| bad(format!("the body is no JSON: {e}")))?;
         let model = match body.get("model") {
             Some(Value::String(model)) => model.clone(),
-            _ => return Err(bad("the body needs a string field \"model\"")),
+            _ => return Err(bad("the body needs a text field \"model\"")),
         };
         let (adapter, version) = match model.split_once('@') {
             Some((adapter, version)) => (adapter, Some(version)),
--- a/crates/portrack/src/daemon/resolve.rs
+++ b/crates/portrack/src/daemon/resolve.rs
@@ -21,13 +21,13 @@
         return Err(refusal.after(Duration::from_secs(1)));
     }
     let Some(spec) = book.adapters().get(&prompt.adapter) else {
-        let detail = format!("adapter {} does not exist", prompt.adapter);
+        let detail = format!("no adapter {} is in force", prompt.adapter);
         return Err(Refusal::not_run(Reason::UnknownAdapter, detail));
     };
     let draw = rand::random();
     let hall = core.bootstrap.hall.as_str();
     let Some(route) = spec.route(prompt.version.as_ref(), service, hall, draw) else {
-        let detail = format!("no rule allows {} to serve this request here", prompt.adapter);
+        let detail = format!("no rule lets {} serve this request here", prompt.adapter);
         return Err(Refusal::not_run(Reason::NotAllowed, detail));
     };
     let adapter = AdapterVersion { adapter: prompt.adapter.clone(), version: route.version };
--- a/crates/portrack/src/engine/client.rs
+++ b/crates/portrack/src/engine/client.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ResumeError {
     /// The engine no longer knows the request.
-    #[snafu(display("the engine no longer knows the request"))]
+    #[snafu(display("the engine does not know the request any more"))]
     Gone,
     /// The connection broke.
     #[snafu(display("the connection broke"))]
--- a/crates/portrack/src/http/server.rs
+++ b/crates/portrack/src/http/server.rs
@@ -93,11 +93,11 @@
     let mut body = BytesMut::new();
     loop {
         let Ok(part) = actix_rt::time::timeout(part_timeout, payload.next()).await else {
-            return Err(Refusal::not_run(Reason::BadRequest, "timed out while reading the body"));
+            return Err(Refusal::not_run(Reason::BadRequest, "the body came too slowly"));
         };
         let Some(part) = part else { return Ok(body.freeze()) };
         let part = part.map_err(|e| {
-            Refusal::not_run(Reason::BadRequest, format!("reading the body failed: {e}"))
+            Refusal::not_run(Reason::BadRequest, format!("the body broke off: {e}"))
         })?;
         if body.len() + part.len() > limit {
             let detail = format!("the body exceeds {limit} bytes");
--- a/crates/portrack/src/settings/change.rs
+++ b/crates/portrack/src/settings/change.rs
@@ -167,7 +167,7 @@
     /// Validates the change and returns the problem found, if any.
     pub fn problem(&self) -> Option<String> {
         if self.why.len() > MAX_REASON_LEN {
-            return Some(format!("the reason is longer than {MAX_REASON_LEN} bytes"));
+            return Some(format!("the reason has more than {MAX_REASON_LEN} bytes"));
         }
         self.edit.problem()
     }
@@ -193,7 +193,7 @@
         let value = encode(&Entry { format: FORMAT, change: record.clone(), body });
         if value.len() > MAX_ENTRY_BYTES {
             return Err(format!(
-                "the entry would have {} bytes, more than the limit of {MAX_ENTRY_BYTES}",
+                "the entry would have {} bytes, over {MAX_ENTRY_BYTES}",
                 value.len()
             ));
         }
--- a/crates/portrack/src/settings/entry.rs
+++ b/crates/portrack/src/settings/entry.rs
@@ -67,7 +67,7 @@
     }
     let header: FormatOnly = serde_json::from_slice(value).map_err(|e| e.to_string())?;
     if header.format != FORMAT {
-        return Err(format!("unsupported format {}, expected {FORMAT}", header.format));
+        return Err(format!("format {} is not known here, only {FORMAT}", header.format));
     }
     serde_json::from_slice(value).map_err(|e| e.to_string())
 }
--- a/crates/portrack/src/settings/path.rs
+++ b/crates/portrack/src/settings/path.rs
@@ -45,10 +45,10 @@
 impl fmt::Display for PathError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Root => f.write_str("a path must begin with 'fleet'"),
+            Self::Root => f.write_str("a path begins with 'fleet'"),
             Self::Segment(part) => write!(
                 f,
-                "invalid part {part:?}: 'fleet' may be followed by hall:NAME, class:NAME and \
+                "{part:?} does not fit: after 'fleet' come hall:NAME, class:NAME and \
                  service:NAME, each at most once and in this order"
             ),
         }
--- a/crates/portrack/src/settings/plain.rs
+++ b/crates/portrack/src/settings/plain.rs
@@ -22,13 +22,10 @@
     pub fn problem(&self) -> Option<String> {
         let reserved = ["/v1", "/healthz", "/readyz"];
         if !self.path.starts_with('/') || self.path.len() < 2 || self.path.ends_with('/') {
-            return Some(format!(
-                "path {:?} must begin with '/' and must not end with it",
-                self.path
-            ));
+            return Some(format!("path {:?} must begin and not end with '/'", self.path));
         }
         let taken = reserved.iter().find(|r| self.path == **r || self.path.starts_with("/v1/"));
-        taken.map(|_| format!("path {:?} is reserved for portrack", self.path))
+        taken.map(|_| format!("path {:?} is portrack's own", self.path))
     }
 
     /// True if a request with this path is routed to the service.
--- a/crates/portrack/src/settings/store.rs
+++ b/crates/portrack/src/settings/store.rs
@@ -30,7 +30,7 @@
         why: String,
     },
     /// The value differs from the expected one.
-    #[snafu(display("changed in the meantime by {by}: expected {expected}, found {found}"))]
+    #[snafu(display("changed meanwhile by {by}: expected {expected}, found {found}"))]
     Conflict {
         /// The expected value.
         expected: String,
@@ -40,18 +40,16 @@
         by: String,
     },
     /// The key-value service does not respond; nothing was changed.
-    #[snafu(display("the key-value service does not respond; nothing was changed"))]
+    #[snafu(display("the key-value service does not answer; nothing was changed"))]
     Unavailable,
     /// The key-value service stopped responding; the change may have been accepted.
-    #[snafu(display(
-        "no response from the key-value service; change {id} may have been accepted, check it later"
-    ))]
+    #[snafu(display("no answer from the key-value service; look for change {id} later"))]
     Unknown {
         /// The change.
         id: ChangeId,
     },
     /// Too many concurrent changes of the same entry.
-    #[snafu(display("too many concurrent changes; try again"))]
+    #[snafu(display("too many changes at once; try again"))]
     Busy,
 }
 
--- a/crates/portrack/src/store/kv.rs
+++ b/crates/portrack/src/store/kv.rs
@@ -16,7 +16,7 @@
     #[snafu(display("the key-value service is unavailable"))]
     Unavailable,
     /// The call may have been executed.
-    #[snafu(display("the key-value service did not respond"))]
+    #[snafu(display("the key-value service did not answer"))]
     Unknown,
 }
 
