--- a/crates/portrack/src/gateway/backpressure/tracker.rs
+++ b/crates/portrack/src/gateway/backpressure/tracker.rs
@@ -36,7 +36,7 @@
 const JITTER_DIVISOR: u32 = 10;
 const MAX_JITTER: Duration = Duration::from_millis(250);
 
-/// What is counted.
+/// Metrics of server limits and backoff.
 pub struct BackpressureMetrics {
     /// Servers that advertise a limit at present.
     pub limited: IntGauge,
--- a/crates/portrack/src/gateway/fleet/cold_start_tracker.rs
+++ b/crates/portrack/src/gateway/fleet/cold_start_tracker.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// What is known about one server.
+/// Cold state of one server.
 #[derive(Debug, Clone, Copy)]
 struct ServerState {
     /// The incarnation that this is about.
--- a/crates/portrack/src/gateway/fleet/peers.rs
+++ b/crates/portrack/src/gateway/fleet/peers.rs
@@ -401,8 +401,8 @@
         silent.into_iter().collect()
     }
 
-    /// Returns true if `known` daemons of a region have been silent for so long that they must be
-    /// cut off.
+    /// Returns true if the `known` daemons of a region have been silent for long enough to be
+    /// presumed cut off from this daemon.
     fn counts_as_silent(&self, region: &str, known: usize, since: Duration) -> bool {
         let expected =
             self.round_duration(region) / u32::try_from(known.max(1)).unwrap_or(u32::MAX);
--- a/crates/portrack/src/gateway/fleet/server_incarnations.rs
+++ b/crates/portrack/src/gateway/fleet/server_incarnations.rs
@@ -10,19 +10,19 @@
 /// 1,500. Without it a late entry of an earlier incarnation would be taken for a new server.
 pub const MAX_REMOVED_INCARNATIONS: usize = 4_096;
 
-/// How an entry compares with what is known about its server.
+/// How an entry compares with the latest recorded entry of its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryStatus {
     /// The server is unknown.
     First,
-    /// The entry is of the known incarnation, and no older than what is known about it.
+    /// The entry is of the recorded incarnation, and no older than the recorded entry.
     Same,
     /// The server has restarted.
     Restarted {
         /// Start time of the previous incarnation.
         before: Option<u64>,
     },
-    /// The entry is of an earlier incarnation, or was written before what is known.
+    /// The entry is of an earlier incarnation, or was written before the recorded entry.
     Stale,
 }
 
--- a/crates/portrack/src/gateway/quarantine/coordinator.rs
+++ b/crates/portrack/src/gateway/quarantine/coordinator.rs
@@ -30,7 +30,7 @@
 pub struct QuarantineDeps {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// What is known of the fleet.
+    /// This node's view of the fleet.
     pub view: Rc<RefCell<FleetView>>,
     /// The daemons that are up and not leaving, kept up to date by other tasks.
     pub daemons: Rc<RefCell<Daemons>>,
--- a/crates/portrack/src/gateway/store_sync/mod.rs
+++ b/crates/portrack/src/gateway/store_sync/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Inputs are responses of the store, and frames, items and reports of other daemons. Outputs are
 //! changes of the mirror, a proof of its freshness, and the choice of a source. No item of the
-//! mirror goes back to an older revision, every update carries the age of its proof, and what other
-//! daemons report about their freshness decides whom to query but proves nothing.
+//! mirror goes back to an older revision, and every update carries the age of its proof. Freshness
+//! reported by other daemons only determines which of them to query; it is not accepted as proof.
 
 pub(in crate::gateway) mod catch_up;
 pub(in crate::gateway) mod era;
